--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -5,15 +5,19 @@
 import time
 from dataclasses import replace
 
+import cbor2
 import pytest
 
 from tests.test_guards import begun
 from tidebend import protocol
-from tidebend.bookkeeping.machines import Machine
+from tidebend.bookkeeping.machines import Fleet, Machine
+from tidebend.protocol import Report
 from tidebend.service import sockets
 from tidebend.service.listing import CALLS_SHARE, PAGE, Listing
 from tidebend.service.rentals import SPARE_SHARE
+from tidebend.storage import LIVE, Mirror
 from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
+from tidebend.transport.frames import MAX_FRAME
 
 
 @pytest.fixture
@@ -158,3 +162,56 @@
         pass
     kept = sockets.kept(dispatcher.settings)
     assert len(dispatcher._clients) == kept and len(closed) == 500 - kept
+
+
+LARGE_FLEET = 4500
+
+
+def test_late_reports_of_a_whole_large_fleet_that_was_released_at_once_are_no_news():
+    """Beyond 2,000 released machines the first were forgotten: their late reports made them known again."""
+    fleet = Fleet()
+    names = [f"vm-{number:06d}" for number in range(LARGE_FLEET)]
+    reports = [Report(name, None, "box", "north", False, 1, 1, 0, None, ()) for name in names]
+    for report in reports:
+        fleet.heard(report)
+    fleet.released(names)
+    assert all(fleet.heard(replace(report, sequence=2)) is None for report in reports)
+    assert not fleet.machines
+
+
+def test_what_was_released_is_forgotten_after_its_time_unless_it_is_needed(monkeypatch):
+    clock = Clock(monkeypatch)
+    fleet = Fleet()
+    fleet.released(["old", "holds-a-claim"])
+    clock.now += 100.0
+    fleet.released(["new"])
+    fleet.forget_gone(clock.now - 50.0, needed={"holds-a-claim"})
+    assert set(fleet.gone) == {"holds-a-claim", "new"}
+
+
+def test_an_old_answer_brings_none_of_a_large_fleets_deleted_records_back():
+    """Beyond 2,000 deletions the first tombstones were forgotten while a read begun before them was under way."""
+    rows = [(f"{LIVE}job/{number}", {"at": number}, number + 1) for number in range(LARGE_FLEET)]
+    deletions = [(key, None, version + LARGE_FLEET) for key, _, version in rows]
+
+    class Overtaken:
+        """A first whole read whose answer is overtaken by the watch, which tells of deletions."""
+
+        timeout = 1.0
+
+        def items(self, prefix, after):
+            mirror.apply(deletions)
+            return rows, False, LARGE_FLEET
+
+    mirror = Mirror(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
+    mirror.catch_up(0.0, "claim")
+    assert not mirror.under(LIVE)
+    mirror.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
+    assert len(mirror._tombstones) == 0  # no request is under way that could undo them
+
+
+def test_the_frames_between_controllers_hold_a_large_fleet_and_all_that_was_released():
+    row = ["vm-000000001", "calcolo-gpu", "palermo-centro", 1, 0, "10.255.255.255", 65535, 1_000_000]
+    released = ["vm-000000001", "", "", 0, 1, "", 0, 0]
+    frame = {"machines": [row] * LARGE_FLEET + [released] * LARGE_FLEET}
+    assert len(cbor2.dumps(frame)) < MAX_FRAME
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -133,7 +133,8 @@
         assert changes < 4.5 and failed < 0.3, (changes, failed)
         for controller in world.controllers.values():
             assert len(controller.book.jobs) < 3 and not controller.book._by_machine.keys() - world.workers.keys()
-            assert len(controller.mirror._gone) <= controller.mirror.KEEP_TOMBSTONES
+            # no request is under way between steps, so that nothing but the newest read's deletions is kept
+            assert len(controller.mirror._tombstones) <= 20, len(controller.mirror._tombstones)
             assert len(controller.planner.turns._since) < 3 and len(controller.planner.claims.at) < 3
             assert len(controller.rentals._cancelled) < 3 and len(controller.planner.ends._since) < 3
         late = [after for _, after in starts_after_cancellation(world.log)]
--- a/tidebend/bookkeeping/machines.py
+++ b/tidebend/bookkeeping/machines.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import threading
 import time
 from collections import OrderedDict
@@ -142,8 +143,19 @@
             for name in names:
                 self.machines.pop(name, None)
                 self.gone[name] = time.monotonic()
-            while len(self.gone) > 2000:
-                self.gone.popitem(last=False)
+                self.gone.move_to_end(name)
+
+    def forget_gone(self, before: float, needed: set[str]) -> None:
+        """Forget machines that were released before a steady time, but for those in `needed`.
+
+        Bounded by time and not by a number: late reports of each of them would be news again, and thousands may be
+        released at once.
+        """
+        with self.lock:
+            old = list(itertools.takewhile(lambda row: row[1] < before, self.gone.items()))
+            for name, _ in old:
+                if name not in needed:
+                    del self.gone[name]
 
     def drop(self, names: list[str]) -> None:
         with self.lock:
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -48,6 +48,11 @@
 # a machine that nobody hears is given up after this share of the workers' lease
 GIVEN_UP_AFTER = 0.55
 
+# A machine that was released is kept in mind, so that nothing late counts as news of it, for so many of the workers'
+# leases and of the list's lags. Copies of reports come up to two leases late.
+GONE_LEASES = 20.0
+GONE_LAGS = 4.0
+
 # a machine that holds what was cancelled long ago doesn't answer if it was asked so often in vain
 TRIES = 2
 
@@ -84,6 +89,8 @@
         self._http = connect(settings.cloud, keep=2)
         # the leader rents and lists; every holder releases
         self._budget = Budget(settings.cloud_rps, CALLS_BURST_S)
+        # longer than reports and the cloud's list are late by
+        self._gone_kept_s = GONE_LEASES * settings.lease_s + GONE_LAGS * settings.list_lag_s
         self._guard_pause_s = min(1.0, settings.report_s / 2.0)
         self._timeout = max(2.0, settings.lease_s / 3.0)
         self._known: dict[str, Rented] = {}
@@ -168,7 +175,9 @@
     def guard_once(self) -> None:
         now = time.monotonic()
         with self.fleet.lock:
-            gone = {name for name in self.book.machines() if name in self.fleet.gone}
+            holding = self.book.machines()
+            gone = {name for name in holding if name in self.fleet.gone}
+        self.fleet.forget_gone(now - self._gone_kept_s, needed=holding)
         if gone:
             self._bury(gone)  # a write that failed before
         # Guards a controller that was cut off: what others gave back meanwhile it would take for silent, and once that
--- a/tidebend/storage/mirror.py
+++ b/tidebend/storage/mirror.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import contextlib
 import logging
+import math
 import random
 import threading
 import time
 from collections import OrderedDict
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any
 
 from tidebend.protocol import Write
@@ -27,8 +29,6 @@
     `on_change(key, value, version)` is called under `lock`, for each newer version once.
     """
 
-    KEEP_TOMBSTONES = 2000
-
     def __init__(self, state: StateClient, on_change: Callable[[str, Any, int], None],
                  lock: threading.RLock, watch_s: float, retry_s: float) -> None:
         self.state = state
@@ -43,7 +43,10 @@
         self.watch_s = watch_s  # for so long a watch waits
         self._retry_s = retry_s  # after one that failed the next begins this much later, give or take half
         self._items: dict[str, tuple[Any, int]] = {}
-        self._gone: OrderedDict[str, int] = OrderedDict()
+        # deleted keys: the version of the deletion and the steady time at which it was taken over, the oldest first
+        self._tombstones: OrderedDict[str, tuple[int, float]] = OrderedDict()
+        # requests under way whose answers will be taken over -> steady time at which each began
+        self._requests_under_way: dict[object, float] = {}
         self._revision = 0
         self._read = threading.Condition()
         self._wanted = self._begun = self._succeeded = self._failed = 0
@@ -68,29 +71,55 @@
                 if key.startswith(FINAL):
                     self._on_change(key, value, version)
                     continue
-                if version <= self._items.get(key, (None, 0))[1] or version <= self._gone.get(key, 0):
+                if version <= self._items.get(key, (None, 0))[1] or version <= self._tombstones.get(key, (0, 0.0))[0]:
                     continue
                 if value is None:
                     self._items.pop(key, None)
                     # guards against an answer that was under way while the key was deleted
-                    self._gone[key] = version
-                    self._gone.move_to_end(key)
-                    while len(self._gone) > self.KEEP_TOMBSTONES:
-                        self._gone.popitem(last=False)
+                    self._tombstones[key] = (version, time.monotonic())
+                    self._tombstones.move_to_end(key)
                 else:
-                    self._gone.pop(key, None)
+                    self._tombstones.pop(key, None)
                     self._items[key] = (value, version)
                 self._on_change(key, value, version)
+            self._prune_tombstones()
+
+    def _prune_tombstones(self) -> None:
+        """Forget deletions that no answer can undo any more; called under the lock.
+
+        An answer is older than a deletion only if its request was under way when the deletion was taken over. So what
+        is kept is bounded by what is deleted while one request lasts, not by a number.
+        """
+        oldest_request = min(self._requests_under_way.values(), default=math.inf)
+        while self._tombstones:
+            key = next(iter(self._tombstones))
+            if self._tombstones[key][1] >= oldest_request:
+                break
+            del self._tombstones[key]
+
+    @contextlib.contextmanager
+    def _request_under_way(self) -> Iterator[None]:
+        """Keep the tombstones that the answer to a request begun now may need, until it is taken over."""
+        request = object()
+        with self.lock:
+            self._requests_under_way[request] = time.monotonic()
+        try:
+            yield
+        finally:
+            with self.lock:
+                del self._requests_under_way[request]
 
     def write(self, conditions: dict[str, int], writes: list[Write], kind: str = "claim",
               patience: float = 0.5) -> int:
         """Change the records, then the cache by the same changes; raises as `StateClient.transact` does."""
-        revision = self.state.transact(conditions, writes, kind, patience)
-        with self.lock:
-            # Guards against an answer that a read has overtaken: the cache has this change already, and what has become
-            # of it since. A whole read tells of no deletions, so that a job that was over by then came back for good.
-            if revision > self._revision:
-                self.apply([(key, value, revision) for key, value, _ in writes])
+        with self._request_under_way():
+            revision = self.state.transact(conditions, writes, kind, patience)
+            with self.lock:
+                # Guards against an answer that a read has overtaken: the cache has this change already, and what has
+                # become of it since. A whole read tells of no deletions, so that a job that was over by then came back
+                # for good.
+                if revision > self._revision:
+                    self.apply([(key, value, revision) for key, value, _ in writes])
         return revision
 
     def _load(self) -> None:
@@ -132,18 +161,20 @@
         self.loaded.set()
 
     def catch_up(self, wait_s: float, kind: str) -> None:
+        """Bring the cache up to a read begun now, which waits for news for so long; raises as the client does."""
         began = time.monotonic()
-        with self.lock:
-            revision = self._revision
-        result = self.state.changes(PREFIX, revision, wait_s, kind) if self.loaded.is_set() else None
-        if result is None:
-            began = time.monotonic()
-            self._load()
-        else:
-            rows, newest = result
+        with self._request_under_way():
             with self.lock:
-                self.apply(rows)
-                self._revision = max(self._revision, newest)
+                revision = self._revision
+            result = self.state.changes(PREFIX, revision, wait_s, kind) if self.loaded.is_set() else None
+            if result is None:
+                began = time.monotonic()
+                self._load()
+            else:
+                rows, newest = result
+                with self.lock:
+                    self.apply(rows)
+                    self._revision = max(self._revision, newest)
         with self.lock:
             self.as_of = max(self.as_of, began)
 
