--- /dev/null
+++ b/lab/former_driver.py
@@ -0,0 +1,57 @@
+"""Steps a controller of a version that has the former names, such as the one in production.
+
+The names here are those of the history and stay as they are, whatever today's code calls the same things.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lab.drivers import ControllerDriver
+
+
+class FormerControllerDriver(ControllerDriver):
+    """Steps a controller of a version that has the former names, such as the one in production."""
+
+    @property
+    def _cache(self) -> Any:
+        return self.controller.mirror
+
+    @property
+    def is_loaded(self) -> bool:
+        return self._cache.loaded.is_set()
+
+    @property
+    def hung_watch_s(self) -> float:
+        waits_s = getattr(self._cache, "watch_s", None) or self._cache._watch_s
+        return waits_s + self.controller.state.timeout
+
+    def note_watch(self, steady: float) -> None:
+        self._cache.watched = steady
+
+    def keep_lease(self) -> None:
+        self.controller.coordinator.keep_lease()
+
+    def tend_shards(self) -> None:
+        self.controller.coordinator.tend_blocks()
+
+    def mapping_event(self) -> None:
+        self.controller.planner.mapping_event()
+
+    def send_next_command(self) -> bool:
+        return self.controller.dispatcher.deliver_next()
+
+    def probe_next(self) -> bool:
+        return "witness" in vars(self.controller) and self.controller.witness.ask_next()
+
+    def peer_frame(self) -> Any:
+        return self.controller.news()
+
+    def receive_peer_frame(self, frame: Any) -> None:
+        self.controller.link.receive(frame)
+
+    def guard_machines(self) -> None:
+        self.controller.rentals.guard_once()
+
+    def scale(self) -> None:
+        self.controller.rentals.lead_once()
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import importlib
+import importlib.util
 import io
 import subprocess
 import sys
@@ -13,6 +14,9 @@
 from pathlib import Path
 from typing import Any
 
+from lab.drivers import ControllerDriver
+from lab.former_driver import FormerControllerDriver
+
 ROOT = Path(__file__).resolve().parents[1]
 
 
@@ -27,6 +31,7 @@
     no_answer: type[Exception]
     quiet: tuple[type[Exception], ...]
     reply: Any
+    driver: type[ControllerDriver]  # what steps a controller of this version
 
 
 def _loaded() -> dict[str, Any]:
@@ -34,12 +39,21 @@
 
 
 def current() -> Version:
-    parts = {name: importlib.import_module(f"tidebend.{name}")
-             for name in ("service", "settings", "transport", "storage", "protocol")}
-    return Version(parts["service"].Controller, parts["settings"].read_settings, parts["settings"].Knobs,
+    """The version that can be imported now, whichever names it has: today's or those of the version in production."""
+    parts = {name: importlib.import_module(f"tidebend.{name}") for name in ("settings", "transport", "protocol")}
+    if importlib.util.find_spec("tidebend.kvclient") is not None:
+        driver: type[ControllerDriver] = ControllerDriver
+        controller = importlib.import_module("tidebend.controller")
+        kvclient = importlib.import_module("tidebend.kvclient")
+        failures = (kvclient.NotExecutedError, kvclient.OutcomeUnknownError)
+    else:
+        driver = FormerControllerDriver
+        controller = importlib.import_module("tidebend.service")
+        storage = importlib.import_module("tidebend.storage")
+        failures = (storage.Unavailable, storage.Unknown)
+    return Version(controller.Controller, parts["settings"].read_settings, parts["settings"].Knobs,
                    parts["transport"].Unreachable, parts["transport"].NoAnswer,
-                   (parts["storage"].Unavailable, parts["storage"].Unknown, parts["protocol"].Invalid),
-                   parts["transport"].Reply)
+                   (*failures, parts["protocol"].Invalid), parts["transport"].Reply, driver)
 
 
 def production() -> Version | None:
--- a/lab/world.py
+++ b/lab/world.py
@@ -387,59 +387,46 @@
                 return
             version = self.versions[node]
             controller = self.controllers[node] = version.controller(self.settings(node), Link(self, node, version))
-            self._no_threads(controller, version.quiet)
+            version.driver(controller).read_in_place(version.quiet)
+        driver, quiet = self.versions[node].driver(controller), self.versions[node].quiet
         turn = self.ticks + number
         if turn % 8 == 0:
-            controller.coordinator.keep_lease()
-        quiet = self.versions[node].quiet
+            driver.keep_lease()
         if turn % 2 == 0:
             if self.now >= self.hung_watch.get(node, -1.0):
-                self._quietly(quiet, lambda: controller.mirror.catch_up(0.0, "claim"))
-                controller.mirror.watched = self.steady  # as the watch would
-            controller.coordinator.tend_blocks()
-        if turn % 3 == 0 and controller.mirror.loaded.is_set():
-            self._quietly(quiet, controller.planner.mapping_event)
+                self._quietly(quiet, driver.catch_up)
+                driver.note_watch(self.steady)
+            driver.tend_shards()
+        if turn % 3 == 0 and driver.is_loaded:
+            self._quietly(quiet, driver.mapping_event)
         for _ in range(20):
-            if not controller.dispatcher.deliver_next():
+            if not driver.send_next_command():
                 break
-        while "witness" in vars(controller) and controller.witness.ask_next():
+        while driver.probe_next():
             pass
         if turn % 5 == 0:
-            news = controller.news()
-            for peer, other in self.controllers.items():
-                if other is not None and peer != node and self.now >= self.frozen.get(peer, -1.0) \
-                        and not self.cut_between(node, "peers") and not self.cut_between(peer, "peers"):
-                    other.link.receive(json.loads(json.dumps(news)))
-            self._quietly(quiet, controller.rentals.guard_once)
+            self._tell_peers(node, driver.peer_frame())
+            self._quietly(quiet, driver.guard_machines)
         if turn % 10 == 0:
-            self._quietly(quiet, controller.rentals.lead_once)
+            self._quietly(quiet, driver.scale)
+
+    def _tell_peers(self, node, frame):
+        for peer, other in self.controllers.items():
+            if other is not None and peer != node and self.now >= self.frozen.get(peer, -1.0) \
+                    and not self.cut_between(node, "peers") and not self.cut_between(peer, "peers"):
+                self.versions[peer].driver(other).receive_peer_frame(json.loads(json.dumps(frame)))
 
     def hang_watch(self, node):
         """The watch that a controller has open brings nothing from now on, for as long as the controller waits."""
         controller = self.controllers.get(node)
         if controller is not None:
-            mirror = controller.mirror
-            waits_s = getattr(mirror, "watch_s", None) or mirror._watch_s  # the latter: in the version in production
-            self.hung_watch[node] = self.now + waits_s + controller.state.timeout
+            self.hung_watch[node] = self.now + self.versions[node].driver(controller).hung_watch_s
 
     @staticmethod
     def _quietly(quiet, step):
         with contextlib.suppress(*quiet):
             step()
 
-    @staticmethod
-    def _no_threads(controller, quiet):
-        mirror = controller.mirror
-
-        def barrier(timeout, kind="poll"):
-            try:
-                mirror.catch_up(0.0, kind)
-                return True
-            except quiet:
-                return False
-
-        mirror.barrier = barrier
-
     def step(self):
         self.ticks += 1
         self.now = round(self.now + TICK, 6)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -23,7 +23,7 @@
 
     controller = version.controller(world.settings(node), Link(world, node, version))
     world.controllers[node] = controller
-    world._no_threads(controller, version.quiet)
+    version.driver(controller).read_in_place(version.quiet)
     return controller
 
 
