--- a/lab/model.py
+++ b/lab/model.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 from typing import Any
 
+from tidebend.kvclient import Conflict, Unavailable, Unknown
 from tidebend.service.shares import ShareMoves
 from tidebend.settings import Team
-from tidebend.storage import Conflict, Unavailable, Unknown
 from tidebend.tenancy import QUOTA, Accounts
 
 TEAM = "t"
--- a/lab/search.py
+++ b/lab/search.py
@@ -19,11 +19,11 @@
 from lab.world import World
 from tidebend.bookkeeping.machines import Machine
 from tidebend.coordination import block_of
+from tidebend.kvclient import LIVE, Mirror
 from tidebend.service.ends import Ends, ProvenEnds
 from tidebend.service.users import Users
 from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
-from tidebend.storage import LIVE, Mirror
 
 ZONES = ("north", "south", "west")
 TEAM = {"name": "team", "cpus": 24.0, "cpus_max": 40.0, "gpus": 0.0, "gpus_max": 0.0}
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -11,11 +11,11 @@
 from tests.test_guards import begun
 from tidebend import protocol
 from tidebend.bookkeeping.machines import Fleet, Machine
+from tidebend.kvclient import LIVE, Mirror
 from tidebend.protocol import Report
 from tidebend.service import sockets
 from tidebend.service.listing import CALLS_SHARE, PAGE, Listing
 from tidebend.service.rentals import SPARE_SHARE
-from tidebend.storage import LIVE, Mirror
 from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
 from tidebend.transport.frames import MAX_FRAME
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -16,13 +16,13 @@
 from tidebend.bookkeeping.machines import Machine, orders
 from tidebend.bookkeeping.parts import Parts
 from tidebend.coordination import block_of
+from tidebend.kvclient import Unknown
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
 from tidebend.provisioning import Offer, Rental
 from tidebend.scheduling import Place, Placement, Timeline, Want, own_demand, value_of
 from tidebend.service.ends import ProvenEnds
 from tidebend.service.ledger import Edit
 from tidebend.service.sizes import packed_bytes
-from tidebend.storage import Unknown
 from tidebend.transport import NoAnswer
 
 TYPES = [{"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "localGb": 50.0, "fetchGbPerS": 1.0,
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from tidebend.kvclient import Mirror, StateClient
 from tidebend.settings import Limits
-from tidebend.storage import Mirror, StateClient
 
 LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
 
--- a/tidebend/bookkeeping/book.py
+++ b/tidebend/bookkeeping/book.py
@@ -11,7 +11,7 @@
 from tidebend.bookkeeping.claims import Claim
 from tidebend.bookkeeping.jobs import HEAD, JOB, Job
 from tidebend.bookkeeping.parts import PART, Part
-from tidebend.storage import FINAL
+from tidebend.kvclient import FINAL
 from tidebend.tenancy import Accounts, Amounts, Usage
 
 CANCELLED = "cancelled"
--- a/tidebend/bookkeeping/jobs.py
+++ b/tidebend/bookkeeping/jobs.py
@@ -9,8 +9,8 @@
 from tidebend.bookkeeping.claims import Claim, pack_claims, unpack_claims
 from tidebend.bookkeeping.parts import Part, Parts, clipped
 from tidebend.bookkeeping.tasksets import from_text, interval, members, to_text
+from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
-from tidebend.storage import LIVE
 
 # a job as the version before pipelines writes and reads it
 JOB = LIVE + "job/"
--- a/tidebend/bookkeeping/parts.py
+++ b/tidebend/bookkeeping/parts.py
@@ -12,7 +12,7 @@
 
 from tidebend.bookkeeping.claims import Claim, pack_claims, unpack_claims
 from tidebend.bookkeeping.tasksets import from_text, interval, to_text
-from tidebend.storage import LIVE
+from tidebend.kvclient import LIVE
 
 PART = LIVE + "part/"
 # bytes of a value for each task of a part: a claim of one task on a machine of its own takes about so many
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -11,8 +11,8 @@
 
 from tidebend.coordination.blocks import Grant, block_of, zone_of
 from tidebend.coordination.formats import Formats
+from tidebend.kvclient import LIVE, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.settings import Settings
-from tidebend.storage import LIVE, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 
 log = logging.getLogger("coordination")
 
--- a/tidebend/coordination/formats.py
+++ b/tidebend/coordination/formats.py
@@ -10,8 +10,8 @@
 import logging
 import sys
 
+from tidebend.kvclient import LIVE, Mirror, StateClient, Unavailable, Unknown
 from tidebend.settings import Settings
-from tidebend.storage import LIVE, Mirror, StateClient, Unavailable, Unknown
 
 log = logging.getLogger("formats")
 
--- a/tidebend/storage/client.py
+++ b/tidebend/kvclient/client.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from tidebend import protocol
+from tidebend.kvclient.errors import Conflict, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.settings import Limits
-from tidebend.storage.failures import Conflict, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
 
 log = logging.getLogger("storage")
--- a/tidebend/storage/mirror.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
+from tidebend.kvclient.client import FLOORS, StateClient
+from tidebend.kvclient.errors import Unavailable, Unknown
+from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.protocol import Write
-from tidebend.storage.client import FLOORS, StateClient
-from tidebend.storage.failures import Unavailable, Unknown
-from tidebend.storage.keys import FINAL, LIVE, PREFIX
 
 log = logging.getLogger("storage")
 
--- a/tidebend/service/controller.py
+++ b/tidebend/service/controller.py
@@ -16,6 +16,7 @@
 from tidebend.bookkeeping.parts import PART
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.kvclient import FINAL, Mirror, StateClient
 from tidebend.service import sockets
 from tidebend.service.ledger import Ledger
 from tidebend.service.planner import Planner
@@ -26,7 +27,6 @@
 from tidebend.service.witness import Witness
 from tidebend.service.workers import Dispatcher, Workers
 from tidebend.settings import Settings
-from tidebend.storage import FINAL, Mirror, StateClient
 from tidebend.transport import HttpClient, Reply, Server
 
 log = logging.getLogger("service")
--- a/tidebend/service/ledger.py
+++ b/tidebend/service/ledger.py
@@ -8,12 +8,12 @@
 
 from tidebend.bookkeeping.book import JobBook
 from tidebend.bookkeeping.jobs import Job
+from tidebend.kvclient import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.service.drafts import Drafts, TooLarge
 from tidebend.service.shares import ShareMoves
 from tidebend.service.sizes import MOST_BYTES, Sizes
 from tidebend.service.splitting import Splitting
-from tidebend.storage import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.tenancy import QUOTA, TEAM, Amounts, Usage
 
 log = logging.getLogger("ledger")
--- a/tidebend/service/planner.py
+++ b/tidebend/service/planner.py
@@ -12,6 +12,7 @@
 from tidebend.bookkeeping.book import JobBook
 from tidebend.bookkeeping.machines import Fleet
 from tidebend.coordination import Coordinator, block_of, zone_of
+from tidebend.kvclient import Conflict, Unavailable, Unknown
 from tidebend.protocol import MachineType
 from tidebend.scheduling import Place, Placement, Want, allowed_on, map_tasks, need_of, times_fit
 from tidebend.service.claims import Claims
@@ -25,7 +26,6 @@
 from tidebend.service.turns import Turns, order_of
 from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
-from tidebend.storage import Conflict, Unavailable, Unknown
 from tidebend.zones import part_of
 
 log = logging.getLogger("planner")
--- a/tidebend/service/reclaims.py
+++ b/tidebend/service/reclaims.py
@@ -7,10 +7,10 @@
 
 from tidebend.bookkeeping.book import JobBook
 from tidebend.bookkeeping.jobs import Job
+from tidebend.kvclient import Conflict
 from tidebend.service.ends import Ends
 from tidebend.service.shares import ShareMoves
 from tidebend.settings import Settings
-from tidebend.storage import Conflict
 from tidebend.tenancy import Amounts
 
 
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -17,6 +17,7 @@
 from tidebend.bookkeeping.machines import Fleet, Machine
 from tidebend.bookkeeping.tasksets import members
 from tidebend.coordination import Coordinator, PeerLink, block_of
+from tidebend.kvclient import Unavailable, Unknown
 from tidebend.protocol import Invalid, ListedMachine, MachineType
 from tidebend.provisioning import WRONG_BY, Capacity, Offer, to_rent
 from tidebend.scheduling import need_of
@@ -25,7 +26,6 @@
 from tidebend.service.planner import Planner
 from tidebend.service.witness import SAMPLE, Round, Witness
 from tidebend.settings import Settings
-from tidebend.storage import Unavailable, Unknown
 from tidebend.tenancy import Usage
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
 from tidebend.zones import Hold, Standing, leave, order
--- a/tidebend/service/shares.py
+++ b/tidebend/service/shares.py
@@ -8,9 +8,9 @@
 
 from tidebend.bookkeeping.book import JobBook
 from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.kvclient import Conflict, Mirror, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.settings import Settings, Team
-from tidebend.storage import Conflict, Mirror, Unavailable, Unknown
 from tidebend.tenancy import QUOTA, SPENT, TEAM, Amounts, Shares, lowered, raised, within
 
 log = logging.getLogger("ledger")
--- a/tidebend/service/splitting.py
+++ b/tidebend/service/splitting.py
@@ -9,10 +9,10 @@
 from tidebend.bookkeeping.jobs import HEAD
 from tidebend.bookkeeping.parts import Parts, part_size
 from tidebend.coordination.formats import FORMAT
+from tidebend.kvclient import Conflict, Mirror
 from tidebend.protocol import Write
 from tidebend.service.drafts import part_key
 from tidebend.service.sizes import CLAIMS_SHARE, Sizes, packed_bytes
-from tidebend.storage import Conflict, Mirror
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/users.py
+++ b/tidebend/service/users.py
@@ -12,11 +12,11 @@
 from tidebend.bookkeeping.book import JobBook, unpack_final
 from tidebend.bookkeeping.jobs import HEAD, JOB, Job
 from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.kvclient import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.protocol import Invalid, JobSpec, MachineType
 from tidebend.service.ledger import Ledger
 from tidebend.service.sizes import packed_bytes
 from tidebend.settings import Settings
-from tidebend.storage import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.transport import BadRequest, Reply
 
 log = logging.getLogger("users")
--- a/tidebend/service/workers.py
+++ b/tidebend/service/workers.py
@@ -14,11 +14,11 @@
 from tidebend.bookkeeping.book import JobBook
 from tidebend.bookkeeping.machines import Fleet, cancelled_stops, orders
 from tidebend.coordination import Coordinator, Grant, PeerLink, block_of
+from tidebend.kvclient import Mirror
 from tidebend.protocol import Invalid, Report
 from tidebend.service import sockets
 from tidebend.service.users import parse_body, unsure
 from tidebend.settings import Settings
-from tidebend.storage import Mirror
 from tidebend.transport import HttpClient, NoAnswer, Reply, Unreachable
 
 log = logging.getLogger("workers")
--- a/tidebend/tenancy/records.py
+++ b/tidebend/tenancy/records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tidebend.storage import LIVE
+from tidebend.kvclient import LIVE
 
 # what the version before pipelines keeps of a team; once the team has shares, a value that leaves no room
 TEAM = LIVE + "team/"
