--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -20,7 +20,7 @@
 from tidebend.control import load_control_settings
 from tidebend.control.settings import State, Times
 from tidebend.hcl import BadFile
-from tidebend.store import Engine
+from tidebend.kvstore import Engine
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from tidebend.kvstore import Damaged, Engine, Failed, Held, StateService
+from tidebend.kvstore.disk_log import FILE
+from tidebend.kvstore.engine import ConditionFailed, LeaseEnded, Write
 from tidebend.settings import Limits
-from tidebend.store import Damaged, Engine, Failed, Held, StateService
-from tidebend.store.disk import FILE
-from tidebend.store.engine import ConditionFailed, LeaseEnded, Write
 
 LIMITS = Limits(1e6, 1e6, 1024, 4)
 
@@ -255,7 +255,7 @@
 WRITER = """
 import sys
 from pathlib import Path
-from tidebend.store.engine import Engine, Write
+from tidebend.kvstore.engine import Engine, Write
 engine = Engine(Path(sys.argv[1]))
 for number in range(100):
     engine.transact({}, [Write(f"k/{number:03}", b"1")])
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -17,8 +17,8 @@
 from tidebend.agent.processes import boot_id, end_leftovers, look
 from tidebend.agent.settings import AgentSettings
 from tidebend.agent.worker import Worker
+from tidebend.kvstore.disk_log import DirectoryLock, Held
 from tidebend.messages import Joined, Joining
-from tidebend.store.disk import DirectoryLock, Held
 from tidebend.transport import Reply
 
 log = logging.getLogger("agent")
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -182,7 +182,7 @@
     from tidebend import logs
     from tidebend.control import load_control_settings, run_control
     from tidebend.control.main import PortTaken
-    from tidebend.store import Damaged, Failed, Held
+    from tidebend.kvstore import Damaged, Failed, Held
 
     settings = load_control_settings(str(path))
     if check:
@@ -203,7 +203,7 @@
     from tidebend.agent.link import Refused
     from tidebend.agent.main import run_agent
     from tidebend.agent.settings import load_agent_settings
-    from tidebend.store.disk import Held
+    from tidebend.kvstore.disk_log import Held
 
     settings = load_agent_settings(arguments.config)
     if arguments.check:
--- a/tidebend/store/engine.py
+++ b/tidebend/kvstore/engine.py
@@ -21,9 +21,9 @@
 import msgspec
 
 from tidebend.faults import point
-from tidebend.store.disk import DirectoryLock, connect, open_checked, rows_from
-from tidebend.store.feed import Changed, Feed
-from tidebend.store.leases import Leases
+from tidebend.kvstore.disk_log import DirectoryLock, connect, open_checked, rows_from
+from tidebend.kvstore.leases import Leases
+from tidebend.kvstore.watch_feed import Changed, Feed
 
 log = logging.getLogger("store")
 
--- a/tidebend/store/service.py
+++ b/tidebend/kvstore/http_api.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
+from tidebend.kvstore.engine import ConditionFailed, Engine, Failed, LeaseEnded, Write
+from tidebend.kvstore.watch_feed import TooOld
 from tidebend.protocol import PATH_LEASES, PATH_TRANSACTION
 from tidebend.protocol import store as wire
 from tidebend.settings import Limits
-from tidebend.store.engine import ConditionFailed, Engine, Failed, LeaseEnded, Write
-from tidebend.store.feed import TooOld
 from tidebend.transport import Budget
 
 log = logging.getLogger("store")
--- a/tidebend/store/direct.py
+++ b/tidebend/kvstore/in_process.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tidebend.store.service import StateService
+from tidebend.kvstore.http_api import StateService
 from tidebend.transport import NoAnswer
 
 
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -19,7 +19,7 @@
 from tidebend.agent import Diary, end_leftovers
 from tidebend.agent.diary import BadDiary, Begun
 from tidebend.agent.processes import is_there
-from tidebend.store.disk import DirectoryLock, Held
+from tidebend.kvstore.disk_log import DirectoryLock, Held
 
 log = logging.getLogger("provider")
 
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -18,11 +18,11 @@
 
 import msgspec
 
+from tidebend.kvstore import Engine, Failed
+from tidebend.kvstore.engine import ConditionFailed, Write
 from tidebend.messages import paths
 from tidebend.protocol import cloud as wire
 from tidebend.provider.agents import AgentProcesses
-from tidebend.store import Engine, Failed
-from tidebend.store.engine import ConditionFailed, Write
 from tidebend.transport import HttpClient, NoAnswer, Unreachable
 
 log = logging.getLogger("provider")
--- a/tools/bench_store.py
+++ b/tools/bench_store.py
@@ -21,9 +21,9 @@
 import lmdb
 from hdrh.histogram import HdrHistogram
 
-from tidebend.store import engine as engine_module
-from tidebend.store.disk import connect
-from tidebend.store.engine import ConditionFailed, Engine, Write
+from tidebend.kvstore import engine as engine_module
+from tidebend.kvstore.disk_log import connect
+from tidebend.kvstore.engine import ConditionFailed, Engine, Write
 
 VALUE = json.dumps({"claims": "x" * 280}).encode()
 
