--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -37,7 +37,7 @@
 @pytest.fixture
 def old_world(monkeypatch):
     """The format is never raised: teams have the records that the version before pipelines keeps."""
-    monkeypatch.setattr("tidebend.coordination.formats.Formats.raise_if_all_read", lambda self, leader: None)
+    monkeypatch.setattr("tidebend.coordination.schema_version.Formats.raise_if_all_read", lambda self, leader: None)
     yield from begun()
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -10,7 +10,7 @@
 from tests.test_scenarios import Scenario
 from tidebend.bookkeeping.book import JobBook, pack_final, unpack_final
 from tidebend.bookkeeping.jobs import HEAD, JOB, Job
-from tidebend.coordination.formats import FORMAT, READS
+from tidebend.coordination.schema_version import FORMAT, READS
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
 SCENE = """machines 2 box north
--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -55,7 +55,7 @@
         print(f"{arguments.config}: fine for {settings.name} of {len(settings.peers) + 1} controllers")
         return 0
     if arguments.command == "format":
-        from tidebend.coordination.formats import show
+        from tidebend.coordination.schema_version import show
 
         return show(settings)
     from tidebend.service import run  # the rest is imported only when it is needed
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from tidebend.coordination.blocks import Grant, block_of, zone_of
-from tidebend.coordination.formats import Formats
+from tidebend.coordination.schema_version import Formats
+from tidebend.coordination.shards import Grant, block_of, zone_of
 from tidebend.kvclient import LIVE, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.settings import Settings
 
--- a/tidebend/service/controller.py
+++ b/tidebend/service/controller.py
@@ -15,7 +15,7 @@
 from tidebend.bookkeeping.machines import Fleet
 from tidebend.bookkeeping.parts import PART
 from tidebend.coordination import Coordinator, PeerLink, block_of
-from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Mirror, StateClient
 from tidebend.service import sockets
 from tidebend.service.ledger import Ledger
--- a/tidebend/service/drafts.py
+++ b/tidebend/service/drafts.py
@@ -9,7 +9,7 @@
 from tidebend.bookkeeping.book import JobBook, pack_final
 from tidebend.bookkeeping.jobs import Job
 from tidebend.bookkeeping.parts import PART
-from tidebend.coordination.formats import Formats
+from tidebend.coordination.schema_version import Formats
 from tidebend.kvclient import FINAL
 from tidebend.protocol import Write
 from tidebend.service.sizes import CLAIMS_SHARE, Sizes, packed_bytes
--- a/tidebend/service/shares.py
+++ b/tidebend/service/shares.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from tidebend.bookkeeping.book import JobBook
-from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import Conflict, Mirror, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.settings import Settings, Team
--- a/tidebend/service/sizes.py
+++ b/tidebend/service/sizes.py
@@ -8,7 +8,7 @@
 
 from tidebend.bookkeeping.jobs import Job
 from tidebend.bookkeeping.parts import Parts, part_size
-from tidebend.coordination.formats import Formats
+from tidebend.coordination.schema_version import Formats
 from tidebend.settings import Limits
 
 # a transaction's bytes stay this far below the protocol's 64 KiB: keys, conditions and punctuation come on top
--- a/tidebend/service/splitting.py
+++ b/tidebend/service/splitting.py
@@ -8,7 +8,7 @@
 from tidebend.bookkeeping.book import JobBook
 from tidebend.bookkeeping.jobs import HEAD
 from tidebend.bookkeeping.parts import Parts, part_size
-from tidebend.coordination.formats import FORMAT
+from tidebend.coordination.schema_version import FORMAT
 from tidebend.kvclient import Conflict, Mirror
 from tidebend.protocol import Write
 from tidebend.service.drafts import part_key
--- a/tidebend/service/users.py
+++ b/tidebend/service/users.py
@@ -11,7 +11,7 @@
 from tidebend import protocol
 from tidebend.bookkeeping.book import JobBook, unpack_final
 from tidebend.bookkeeping.jobs import HEAD, JOB, Job
-from tidebend.coordination.formats import FORMAT, Formats
+from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.protocol import Invalid, JobSpec, MachineType
 from tidebend.service.ledger import Ledger
