--- a/lab/search.py
+++ b/lab/search.py
@@ -17,7 +17,7 @@
 from lab.links import Cut
 from lab.play import cut_zone
 from lab.world import World
-from tidebend.bookkeeping.machines import Machine
+from tidebend.cluster_state.machine_registry import Machine
 from tidebend.coordination import block_of
 from tidebend.kvclient import LIVE, Mirror
 from tidebend.service.ends import Ends, ProvenEnds
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,7 +10,7 @@
 
 from tests.test_guards import begun
 from tidebend import protocol
-from tidebend.bookkeeping.machines import Fleet, Machine
+from tidebend.cluster_state.machine_registry import Fleet, Machine
 from tidebend.kvclient import LIVE, Mirror
 from tidebend.protocol import Report
 from tidebend.service import sockets
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,11 +10,11 @@
 
 from lab.world import World
 from tests.test_scenarios import JOB
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import JOB as JOB_KEY
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Machine, orders
-from tidebend.bookkeeping.parts import Parts
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import JOB as JOB_KEY
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Machine, orders
+from tidebend.cluster_state.record_chunks import Parts
 from tidebend.coordination import block_of
 from tidebend.kvclient import Unknown
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,9 +11,9 @@
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Machine, orders
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Machine, orders
 from tidebend.protocol import TaskReport, parse_job
 
 REPORT, CONTROLLER, WORKER = 1.0, 3.5, 10.0  # seconds: a report's interval, a controller's lease, a worker's
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -4,8 +4,8 @@
 import threading
 
 from tests.test_scenarios import JOB as FIELDS
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import HEAD, JOB, Job
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.protocol import parse_job
 from tidebend.scheduling import Demand, demands
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -15,7 +15,7 @@
     world,
 )
 from tests.test_scheduling import place, want
-from tidebend.bookkeeping.claims import Claim
+from tidebend.cluster_state.allocations import Claim
 from tidebend.kvclient import Unknown
 from tidebend.scheduling import Owed, map_tasks
 from tidebend.service.ledger import Edit
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -11,8 +11,8 @@
 from lab.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import Job
 from tidebend.protocol import TaskReport, parse_job
 from tidebend.service.ends import Setback
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,8 +8,8 @@
 
 from lab.world import World
 from tests.test_scenarios import Scenario
-from tidebend.bookkeeping.book import JobBook, pack_final, unpack_final
-from tidebend.bookkeeping.jobs import HEAD, JOB, Job
+from tidebend.cluster_state.job_cache import JobBook, pack_final, unpack_final
+from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.coordination.schema_version import FORMAT, READS
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,8 +6,8 @@
 
 from lab.links import Cut
 from tests.test_guards import begun, in_parts, spec
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import Job
 from tidebend.coordination.coordinator import ZONE
 from tidebend.zones import Hold, Standing, leave, part_of, without
 
--- a/tidebend/bookkeeping/claims.py
+++ b/tidebend/cluster_state/allocations.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tidebend.bookkeeping.tasksets import from_text, to_text
+from tidebend.cluster_state.task_bitmap import from_text, to_text
 
 
 @dataclass(frozen=True, slots=True)
--- a/tidebend/bookkeeping/book.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import HEAD, JOB, Job
-from tidebend.bookkeeping.parts import PART, Part
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.record_chunks import PART, Part
 from tidebend.kvclient import FINAL
 from tidebend.tenancy import Accounts, Amounts, Usage
 
--- a/tidebend/bookkeeping/jobs.py
+++ b/tidebend/cluster_state/job_records.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tidebend.bookkeeping.claims import Claim, pack_claims, unpack_claims
-from tidebend.bookkeeping.parts import Part, Parts, clipped
-from tidebend.bookkeeping.tasksets import from_text, interval, members, to_text
+from tidebend.cluster_state.allocations import Claim, pack_claims, unpack_claims
+from tidebend.cluster_state.record_chunks import Part, Parts, clipped
+from tidebend.cluster_state.task_bitmap import from_text, interval, members, to_text
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
 
--- a/tidebend/bookkeeping/machines.py
+++ b/tidebend/cluster_state/machine_registry.py
@@ -8,7 +8,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.protocol import Command, Report, TaskReport
 
 
--- a/tidebend/bookkeeping/parts.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tidebend.bookkeeping.claims import Claim, pack_claims, unpack_claims
-from tidebend.bookkeeping.tasksets import from_text, interval, to_text
+from tidebend.cluster_state.allocations import Claim, pack_claims, unpack_claims
+from tidebend.cluster_state.task_bitmap import from_text, interval, to_text
 from tidebend.kvclient import LIVE
 
 PART = LIVE + "part/"
--- a/tidebend/service/claims.py
+++ b/tidebend/service/claims.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from functools import partial
 
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.tasksets import lowest, members
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.task_bitmap import lowest, members
 from tidebend.coordination import Coordinator
 from tidebend.scheduling import Demand, Placement, Want, value_of
 from tidebend.service.ends import Ends, ProvenEnds
--- a/tidebend/service/controller.py
+++ b/tidebend/service/controller.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import HEAD, JOB
-from tidebend.bookkeeping.machines import Fleet
-from tidebend.bookkeeping.parts import PART
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import HEAD, JOB
+from tidebend.cluster_state.machine_registry import Fleet
+from tidebend.cluster_state.record_chunks import PART
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Mirror, StateClient
--- a/tidebend/service/drafts.py
+++ b/tidebend/service/drafts.py
@@ -6,9 +6,9 @@
 import time
 from dataclasses import dataclass, replace
 
-from tidebend.bookkeeping.book import JobBook, pack_final
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.parts import PART
+from tidebend.cluster_state.job_cache import JobBook, pack_final
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.record_chunks import PART
 from tidebend.coordination.schema_version import Formats
 from tidebend.kvclient import FINAL
 from tidebend.protocol import Write
--- a/tidebend/service/ends.py
+++ b/tidebend/service/ends.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Fleet, Machine
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator, Grant, block_of
 from tidebend.protocol import JobSpec
 from tidebend.service.estimates import Estimates
--- a/tidebend/service/ledger.py
+++ b/tidebend/service/ledger.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
 from tidebend.kvclient import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.service.drafts import Drafts, TooLarge
--- a/tidebend/service/places.py
+++ b/tidebend/service/places.py
@@ -5,11 +5,11 @@
 import math
 from collections.abc import Callable
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.claims import Claim
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Fleet, Machine
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator, Grant, block_of
 from tidebend.protocol import MachineType
 from tidebend.scheduling import Amount, Place, Timeline, need_of
--- a/tidebend/service/planner.py
+++ b/tidebend/service/planner.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from functools import partial
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.machines import Fleet
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.machine_registry import Fleet
 from tidebend.coordination import Coordinator, block_of, zone_of
 from tidebend.kvclient import Conflict, Unavailable, Unknown
 from tidebend.protocol import MachineType
--- a/tidebend/service/reclaims.py
+++ b/tidebend/service/reclaims.py
@@ -5,8 +5,8 @@
 import contextlib
 from collections.abc import Iterable
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
 from tidebend.kvclient import Conflict
 from tidebend.service.ends import Ends
 from tidebend.service.shares import ShareMoves
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Fleet, Machine
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.kvclient import Unavailable, Unknown
 from tidebend.protocol import Invalid, ListedMachine, MachineType
--- a/tidebend/service/room.py
+++ b/tidebend/service/room.py
@@ -6,9 +6,9 @@
 import math
 from collections.abc import Callable
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.machines import Fleet, Machine
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator, block_of
 from tidebend.protocol import PRIORITIES, MachineType
 from tidebend.scheduling import Amount, Place, Want, allowed_on, need_of, times_fit
--- a/tidebend/service/shares.py
+++ b/tidebend/service/shares.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Callable
 
-from tidebend.bookkeeping.book import JobBook
+from tidebend.cluster_state.job_cache import JobBook
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import Conflict, Mirror, Unavailable, Unknown
 from tidebend.protocol import Write
--- a/tidebend/service/sizes.py
+++ b/tidebend/service/sizes.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 from typing import Any
 
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.parts import Parts, part_size
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.record_chunks import Parts, part_size
 from tidebend.coordination.schema_version import Formats
 from tidebend.settings import Limits
 
--- a/tidebend/service/splitting.py
+++ b/tidebend/service/splitting.py
@@ -5,9 +5,9 @@
 import logging
 from dataclasses import replace
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import HEAD
-from tidebend.bookkeeping.parts import Parts, part_size
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import HEAD
+from tidebend.cluster_state.record_chunks import Parts, part_size
 from tidebend.coordination.schema_version import FORMAT
 from tidebend.kvclient import Conflict, Mirror
 from tidebend.protocol import Write
--- a/tidebend/service/turns.py
+++ b/tidebend/service/turns.py
@@ -4,7 +4,7 @@
 
 import zlib
 
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.job_records import Job
 from tidebend.settings import Settings
 
 
--- a/tidebend/service/users.py
+++ b/tidebend/service/users.py
@@ -9,8 +9,8 @@
 from dataclasses import replace
 
 from tidebend import protocol
-from tidebend.bookkeeping.book import JobBook, unpack_final
-from tidebend.bookkeeping.jobs import HEAD, JOB, Job
+from tidebend.cluster_state.job_cache import JobBook, unpack_final
+from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.protocol import Invalid, JobSpec, MachineType
--- a/tidebend/service/waiting.py
+++ b/tidebend/service/waiting.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.jobs import Job
-from tidebend.bookkeeping.machines import Fleet
-from tidebend.bookkeeping.tasksets import members
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Fleet
+from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator
 from tidebend.protocol import JobSpec, MachineType
 from tidebend.scheduling import Demand, Owed, Value, Want, demands, is_reserved, largest_share, own_demand, value_of
--- a/tidebend/service/witness.py
+++ b/tidebend/service/witness.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from tidebend import protocol
-from tidebend.bookkeeping.machines import Fleet
+from tidebend.cluster_state.machine_registry import Fleet
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, NoAnswer, Unreachable
--- a/tidebend/service/workers.py
+++ b/tidebend/service/workers.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 from tidebend import protocol
-from tidebend.bookkeeping.book import JobBook
-from tidebend.bookkeeping.machines import Fleet, cancelled_stops, orders
+from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.machine_registry import Fleet, cancelled_stops, orders
 from tidebend.coordination import Coordinator, Grant, PeerLink, block_of
 from tidebend.kvclient import Mirror
 from tidebend.protocol import Invalid, Report
--- a/tidebend/zones/moving.py
+++ b/tidebend/zones/moving.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from tidebend.bookkeeping.jobs import Job
+from tidebend.cluster_state.job_records import Job
 
 
 def without(job: Job, lost: set[str]) -> Job | None:
