--- a/lab/model.py
+++ b/lab/model.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from tidebend.kvclient import Conflict, Unavailable, Unknown
+from tidebend.quota import QUOTA, Accounts
 from tidebend.service.shares import ShareMoves
 from tidebend.settings import Team
-from tidebend.tenancy import QUOTA, Accounts
 
 TEAM = "t"
 FAULTS = ("none", "no_fence", "no_compare", "no_doubts", "credit_first")
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.cluster_state.record_chunks import PART, Part
 from tidebend.kvclient import FINAL
-from tidebend.tenancy import Accounts, Amounts, Usage
+from tidebend.quota import Accounts, Amounts, Usage
 
 CANCELLED = "cancelled"
 Final = tuple[str, float]  # `done` or `cancelled`, and the time of day, 0 in records of the version before pipelines
--- a/tidebend/tenancy/usage.py
+++ b/tidebend/quota/team_usage.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, replace
 
 from tidebend.protocol import JobSpec
-from tidebend.tenancy.records import Amounts, amount
-from tidebend.tenancy.shares import Shares
+from tidebend.quota.records import Amounts, amount
+from tidebend.quota.zone_quotas import Shares
 
 
 @dataclass(frozen=True, slots=True)
--- a/tidebend/tenancy/accounts.py
+++ b/tidebend/quota/usage_index.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from tidebend.protocol import JobSpec
-from tidebend.tenancy.records import QUOTA, TEAM, Amounts, amount
-from tidebend.tenancy.shares import Shares
-from tidebend.tenancy.usage import Usage
+from tidebend.quota.records import QUOTA, TEAM, Amounts, amount
+from tidebend.quota.team_usage import Usage
+from tidebend.quota.zone_quotas import Shares
 
 
 class Accounts:
--- a/tidebend/tenancy/shares.py
+++ b/tidebend/quota/zone_quotas.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from tidebend.quota.records import Amounts, amount
 from tidebend.settings import Team
-from tidebend.tenancy.records import Amounts, amount
 
 # of what is free of a team's limit, the zones together take this share ahead of need
 AHEAD = 0.5
--- a/tidebend/service/drafts.py
+++ b/tidebend/service/drafts.py
@@ -12,8 +12,8 @@
 from tidebend.coordination.schema_version import Formats
 from tidebend.kvclient import FINAL
 from tidebend.protocol import Write
+from tidebend.quota import Usage
 from tidebend.service.sizes import CLAIMS_SHARE, Sizes, packed_bytes
-from tidebend.tenancy import Usage
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/ends.py
+++ b/tidebend/service/ends.py
@@ -14,11 +14,11 @@
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator, Grant, block_of
 from tidebend.protocol import JobSpec
+from tidebend.quota import Amounts, Usage
 from tidebend.service.estimates import Estimates
 from tidebend.service.ledger import Edit, Ledger
 from tidebend.service.sizes import packed_bytes
 from tidebend.settings import Settings
-from tidebend.tenancy import Amounts, Usage
 
 log = logging.getLogger("planner")
 
--- a/tidebend/service/ledger.py
+++ b/tidebend/service/ledger.py
@@ -10,11 +10,11 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.kvclient import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.protocol import Write
+from tidebend.quota import QUOTA, TEAM, Amounts, Usage
 from tidebend.service.drafts import Drafts, TooLarge
 from tidebend.service.shares import ShareMoves
 from tidebend.service.sizes import MOST_BYTES, Sizes
 from tidebend.service.splitting import Splitting
-from tidebend.tenancy import QUOTA, TEAM, Amounts, Usage
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/reclaims.py
+++ b/tidebend/service/reclaims.py
@@ -8,10 +8,10 @@
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.job_records import Job
 from tidebend.kvclient import Conflict
+from tidebend.quota import Amounts
 from tidebend.service.ends import Ends
 from tidebend.service.shares import ShareMoves
 from tidebend.settings import Settings
-from tidebend.tenancy import Amounts
 
 
 class Reclaims:
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -20,13 +20,13 @@
 from tidebend.kvclient import Unavailable, Unknown
 from tidebend.protocol import Invalid, ListedMachine, MachineType
 from tidebend.provisioning import WRONG_BY, Capacity, Offer, to_rent
+from tidebend.quota import Usage
 from tidebend.scheduling import need_of
 from tidebend.service.ledger import Edit, Ledger
 from tidebend.service.listing import Listing
 from tidebend.service.planner import Planner
 from tidebend.service.witness import SAMPLE, Round, Witness
 from tidebend.settings import Settings
-from tidebend.tenancy import Usage
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
 from tidebend.zones import Hold, Standing, leave, order
 
--- a/tidebend/service/shares.py
+++ b/tidebend/service/shares.py
@@ -10,8 +10,8 @@
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import Conflict, Mirror, Unavailable, Unknown
 from tidebend.protocol import Write
+from tidebend.quota import QUOTA, SPENT, TEAM, Amounts, Shares, lowered, raised, within
 from tidebend.settings import Settings, Team
-from tidebend.tenancy import QUOTA, SPENT, TEAM, Amounts, Shares, lowered, raised, within
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/waiting.py
+++ b/tidebend/service/waiting.py
@@ -12,11 +12,11 @@
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.coordination import Coordinator
 from tidebend.protocol import JobSpec, MachineType
+from tidebend.quota import Usage
 from tidebend.scheduling import Demand, Owed, Value, Want, demands, is_reserved, largest_share, own_demand, value_of
 from tidebend.service.ends import Ends
 from tidebend.service.estimates import Estimates
 from tidebend.settings import Settings
-from tidebend.tenancy import Usage
 from tidebend.zones import without
 
 # what is placed a moment from now holds its slot for the rest of the event, and doesn't start
