--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,6 +10,7 @@
 
 from lab.world import World
 from tests.test_scenarios import JOB
+from tidebend.autoscaling import Offer, Rental
 from tidebend.cluster_state.allocations import Claim
 from tidebend.cluster_state.job_records import JOB as JOB_KEY
 from tidebend.cluster_state.job_records import Job
@@ -18,7 +19,6 @@
 from tidebend.coordination import block_of
 from tidebend.kvclient import Unknown
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
-from tidebend.provisioning import Offer, Rental
 from tidebend.scheduling import Place, Placement, Timeline, Want, own_demand, value_of
 from tidebend.service.ends import ProvenEnds
 from tidebend.service.ledger import Edit
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from tidebend.autoscaling import Capacity, Offer, to_rent
 from tidebend.cluster_state.task_bitmap import from_text, lowest, to_text
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.provisioning import Capacity, Offer, to_rent
 from tidebend.scheduling import (
     Place,
     Timeline,
--- a/tidebend/provisioning/__init__.py
+++ b/tidebend/autoscaling/__init__.py
@@ -1,6 +1,6 @@
 """What to rent: pure functions of the waiting work and the machines at hand, booting ones included."""
 
-from tidebend.provisioning.capacity import Capacity, Offer, Rental
-from tidebend.provisioning.needs import WRONG_BY, to_rent
+from tidebend.autoscaling.capacity import Capacity, Offer, Rental
+from tidebend.autoscaling.scale_out import WRONG_BY, to_rent
 
 __all__ = ["WRONG_BY", "Capacity", "Offer", "Rental", "to_rent"]
--- a/tidebend/provisioning/needs.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -4,7 +4,7 @@
 
 import math
 
-from tidebend.provisioning.capacity import Capacity, Offer, Rental
+from tidebend.autoscaling.capacity import Capacity, Offer, Rental
 from tidebend.scheduling import EPSILON, Want, need_of, times_fit
 
 # estimates are often wrong by half: count on tasks that take that much longer
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from tidebend import protocol
+from tidebend.autoscaling import WRONG_BY, Capacity, Offer, to_rent
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Fleet, Machine
@@ -19,7 +20,6 @@
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.kvclient import Unavailable, Unknown
 from tidebend.protocol import Invalid, ListedMachine, MachineType
-from tidebend.provisioning import WRONG_BY, Capacity, Offer, to_rent
 from tidebend.quota import Usage
 from tidebend.scheduling import need_of
 from tidebend.service.ledger import Edit, Ledger
