--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from tidebend.cluster_state.allocations import Claim
 from tidebend.cluster_state.job_records import Job
 from tidebend.coordination.coordinator import ZONE
-from tidebend.zones import Hold, Standing, leave, part_of, without
+from tidebend.zone_failover import Hold, Standing, leave, part_of, without
 
 HOLD = Hold(begin=90.0, until=100.0, end=115.0)
 
--- a/tidebend/service/planner.py
+++ b/tidebend/service/planner.py
@@ -26,7 +26,7 @@
 from tidebend.service.turns import Turns, order_of
 from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
-from tidebend.zones import part_of
+from tidebend.zone_failover import part_of
 
 log = logging.getLogger("planner")
 
--- a/tidebend/service/rentals.py
+++ b/tidebend/service/rentals.py
@@ -28,7 +28,7 @@
 from tidebend.service.witness import SAMPLE, Round, Witness
 from tidebend.settings import Settings
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
-from tidebend.zones import Hold, Standing, leave, order
+from tidebend.zone_failover import Hold, Standing, leave, order
 
 log = logging.getLogger("rentals")
 
--- a/tidebend/service/waiting.py
+++ b/tidebend/service/waiting.py
@@ -17,7 +17,7 @@
 from tidebend.service.ends import Ends
 from tidebend.service.estimates import Estimates
 from tidebend.settings import Settings
-from tidebend.zones import without
+from tidebend.zone_failover import without
 
 # what is placed a moment from now holds its slot for the rest of the event, and doesn't start
 SOON_S = 0.001
--- a/tidebend/zones/__init__.py
+++ b/tidebend/zone_failover/__init__.py
@@ -1,6 +1,6 @@
 """A zone that is lost: when each part of what stands in it is given up, and what will have to move."""
 
-from tidebend.zones.leaving import Hold, Standing, leave, order
-from tidebend.zones.moving import part_of, without
+from tidebend.zone_failover.evacuation import Hold, Standing, leave, order
+from tidebend.zone_failover.relocation import part_of, without
 
 __all__ = ["Hold", "Standing", "leave", "order", "part_of", "without"]
