--- a/tidebend/scheduling/gangs.py
+++ b/tidebend/scheduling/gang_placement.py
@@ -4,8 +4,8 @@
 
 import math
 
-from tidebend.scheduling.amounts import need_of
-from tidebend.scheduling.wants import Place, Placement, Want, allowed_on
+from tidebend.scheduling.resources import need_of
+from tidebend.scheduling.task_requests import Place, Placement, Want, allowed_on
 
 
 def place_gang(want: Want, places: list[Place], now: float, latest: float) -> list[Placement] | None:
--- a/tidebend/scheduling/slots.py
+++ b/tidebend/scheduling/slots.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tidebend.scheduling.amounts import EPSILON, need_of
-from tidebend.scheduling.wants import Place, Want
+from tidebend.scheduling.resources import EPSILON, need_of
+from tidebend.scheduling.task_requests import Place, Want
 
 # (-value per resource, finish, added gaps, gap, what the machine has left, its name, start)
 Slot = tuple[float, float, int, float, float, str, float]
--- a/tidebend/scheduling/wants.py
+++ b/tidebend/scheduling/task_requests.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass, field
 
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.scheduling.amounts import times_fit
+from tidebend.scheduling.resources import times_fit
 from tidebend.scheduling.timeline import Timeline
-from tidebend.scheduling.values import Value
+from tidebend.scheduling.value_functions import Value
 
 
 @dataclass(slots=True)
--- a/tidebend/scheduling/timeline.py
+++ b/tidebend/scheduling/timeline.py
@@ -5,7 +5,7 @@
 import math
 from bisect import bisect_right
 
-from tidebend.scheduling.amounts import Amount, times_fit
+from tidebend.scheduling.resources import Amount, times_fit
 
 
 class Timeline:
--- a/tidebend/scheduling/values.py
+++ b/tidebend/scheduling/value_functions.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from tidebend.protocol import PRIORITIES, JobSpec
-from tidebend.scheduling.amounts import EPSILON
+from tidebend.scheduling.resources import EPSILON
 
 # value left at the hard deadline, as a share of the starting value: the middle of the paper's U(0.01, 0.8)
 FINAL_SHARE = 0.4
--- a/tidebend/scheduling/pick.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -5,10 +5,10 @@
 import math
 from heapq import heappop, heappush
 
-from tidebend.scheduling.amounts import EPSILON, need_of, times_fit
-from tidebend.scheduling.gangs import place_gang
+from tidebend.scheduling.gang_placement import place_gang
+from tidebend.scheduling.resources import EPSILON, need_of, times_fit
 from tidebend.scheduling.slots import Slot, best_slot, rate_of
-from tidebend.scheduling.wants import Owed, Place, Placement, Want, allowed_on
+from tidebend.scheduling.task_requests import Owed, Place, Placement, Want, allowed_on
 
 # busy machines that an event looks at together when a want's best slot may be on one of them
 LOOK = 8
