--- a/lab/model.py
+++ b/lab/model.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 from typing import Any
 
+from tidebend.controller.quota.quota_rebalancing import ShareMoves
 from tidebend.kvclient import Conflict, Unavailable, Unknown
 from tidebend.quota import QUOTA, Accounts
-from tidebend.service.shares import ShareMoves
 from tidebend.settings import Team
 
 TEAM = "t"
--- a/lab/search.py
+++ b/lab/search.py
@@ -18,11 +18,11 @@
 from lab.play import cut_zone
 from lab.world import World
 from tidebend.cluster_state.machine_registry import Machine
+from tidebend.controller.api.job_api import Users
+from tidebend.controller.records.completions import Ends, ProvenEnds
+from tidebend.controller.scheduler.pending_jobs import Waiting
 from tidebend.coordination import block_of
 from tidebend.kvclient import LIVE, Mirror
-from tidebend.service.ends import Ends, ProvenEnds
-from tidebend.service.users import Users
-from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
 
 ZONES = ("north", "south", "west")
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -41,11 +41,11 @@
 def current() -> Version:
     """The version that can be imported now, whichever names it has: today's or those of the version in production."""
     parts = {name: importlib.import_module(f"tidebend.{name}") for name in ("settings", "transport", "protocol")}
-    if importlib.util.find_spec("tidebend.kvclient") is not None:
+    if importlib.util.find_spec("tidebend.controller") is not None:
         driver: type[ControllerDriver] = ControllerDriver
         controller = importlib.import_module("tidebend.controller")
         kvclient = importlib.import_module("tidebend.kvclient")
-        failures = (kvclient.NotExecutedError, kvclient.OutcomeUnknownError)
+        failures = (kvclient.Unavailable, kvclient.Unknown)
     else:
         driver = FormerControllerDriver
         controller = importlib.import_module("tidebend.service")
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,8 +11,8 @@
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
+from tidebend.controller.api.job_api import Users
 from tidebend.kvclient import Mirror
-from tidebend.service.users import Users
 
 ACTIONS = ("submit", "poll", "cancel")
 ODD = {"lacks a field": {"vcpus": None}, "fits no machine": {"vcpus": 900.0}, "no such team": {"crew": "nobody"},
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -11,11 +11,11 @@
 from tests.test_guards import begun
 from tidebend import protocol
 from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.controller import connection_limits
+from tidebend.controller.autoscaling.machine_inventory import CALLS_SHARE, PAGE, Listing
+from tidebend.controller.autoscaling.rentals import SPARE_SHARE
 from tidebend.kvclient import LIVE, Mirror
 from tidebend.protocol import Report
-from tidebend.service import sockets
-from tidebend.service.listing import CALLS_SHARE, PAGE, Listing
-from tidebend.service.rentals import SPARE_SHARE
 from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
 from tidebend.transport.frames import MAX_FRAME
 
@@ -131,12 +131,12 @@
 @pytest.mark.parametrize("most", [16, 600, 1015, 2044, 9000])
 def test_sockets_are_shared_out_by_the_settings(world, most):
     settings = replace(world.controllers["n0"].settings, max_sockets=most)
-    ours = (sockets.kept(settings) + sockets.asking(settings) + sockets.backlog(settings)
+    ours = (connection_limits.kept(settings) + connection_limits.asking(settings) + connection_limits.backlog(settings)
             + 4 * len(settings.peers))
-    assert sockets.incoming(settings) + sockets.asking(settings) <= 2000
-    assert sockets.incoming(settings) >= most // 2 or sockets.incoming(settings) > 1700
+    assert connection_limits.incoming(settings) + connection_limits.asking(settings) <= 2000
+    assert connection_limits.incoming(settings) >= most // 2 or connection_limits.incoming(settings) > 1700
     if most >= 600:
-        assert sockets.incoming(settings) + ours < most
+        assert connection_limits.incoming(settings) + ours < most
 
 
 def test_direct_commands_keep_no_more_connections_than_their_share(world):
@@ -160,7 +160,7 @@
     assert dispatcher._silent.qsize() == 500  # none is left out
     while dispatcher.deliver_next():
         pass
-    kept = sockets.kept(dispatcher.settings)
+    kept = connection_limits.kept(dispatcher.settings)
     assert len(dispatcher._clients) == kept and len(closed) == 500 - kept
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -16,13 +16,13 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Machine, orders
 from tidebend.cluster_state.record_chunks import Parts
+from tidebend.controller.records.completions import ProvenEnds
+from tidebend.controller.records.job_writer import Edit
+from tidebend.controller.records.record_limits import packed_bytes
 from tidebend.coordination import block_of
 from tidebend.kvclient import Unknown
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
 from tidebend.scheduling import Place, Placement, Timeline, Want, own_demand, value_of
-from tidebend.service.ends import ProvenEnds
-from tidebend.service.ledger import Edit
-from tidebend.service.sizes import packed_bytes
 from tidebend.transport import NoAnswer
 
 TYPES = [{"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "localGb": 50.0, "fetchGbPerS": 1.0,
@@ -453,7 +453,7 @@
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None).rentals
     box = leader.types["box"]
     scarce, plenty = Offer(box, "north", True), Offer(box, "north", False)
-    monkeypatch.setattr("tidebend.service.rentals.to_rent",
+    monkeypatch.setattr("tidebend.controller.autoscaling.rentals.to_rent",
                         lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)])
     asked = []
     leader._order = lambda term, offer, machines: asked.append(offer)
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -11,7 +11,7 @@
 from tests.test_answers import small
 from tests.test_meetings import leader_of
 from tests.test_scenarios import JOB
-from tidebend.service.rentals import Rentals
+from tidebend.controller.autoscaling.rentals import Rentals
 
 SERVICE = {"shape": "service", "pieces": 2, "reckonS": 0.0, "driftwood": False, "vcpus": 1.0}
 LONG = {"pieces": 4, "run_s": 300.0, "vcpus": 1.0}
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -5,7 +5,7 @@
 from lab.__main__ import main
 from lab.checker import forgotten
 from lab.search import FAULTS, MEETINGS, play, play_with
-from tidebend.service.users import Users, unsure
+from tidebend.controller.api.job_api import Users, unsure
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -62,7 +62,7 @@
     import subprocess
     import sys
 
-    code = ("import sys, tidebend.cli, tidebend.service\n"
+    code = ("import sys, tidebend.cli, tidebend.controller\n"
             "print(*sorted({name.partition('.')[0] for name in sys.modules}))\n"
             "print(*sorted(name for name in sys.modules if name.startswith('tidebend.')))")
     tops, ours = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True,
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -16,9 +16,9 @@
 )
 from tests.test_scheduling import place, want
 from tidebend.cluster_state.allocations import Claim
+from tidebend.controller.records.job_writer import Edit
 from tidebend.kvclient import Unknown
 from tidebend.scheduling import Owed, map_tasks
-from tidebend.service.ledger import Edit
 
 
 def ending(tasks):
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -13,8 +13,8 @@
 from tests.test_scenarios import JOB
 from tidebend.cluster_state.allocations import Claim
 from tidebend.cluster_state.job_records import Job
+from tidebend.controller.records.completions import Setback
 from tidebend.protocol import TaskReport, parse_job
-from tidebend.service.ends import Setback
 
 ZONES = ["north", "south", "west"]
 TEAMS = [{"name": "team", "cpus": 400.0, "cpus_max": 400.0, "gpus": 0.0, "gpus_max": 0.0}]
--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -58,7 +58,7 @@
         from tidebend.coordination.schema_version import show
 
         return show(settings)
-    from tidebend.service import run  # the rest is imported only when it is needed
+    from tidebend.controller import run  # the rest is imported only when it is needed
 
     run(settings)
     return 0
--- a/tidebend/control/desk.py
+++ b/tidebend/control/desk.py
@@ -14,13 +14,13 @@
 
 from tidebend.access import KeyedClient
 from tidebend.control.muster import Musters
+from tidebend.controller import Controller
 from tidebend.kvstore import Engine, Failed
 from tidebend.kvstore.engine import ConditionFailed, Write
 from tidebend.messages import Description, Joined, Joining, Muster, paths
 from tidebend.protocol import is_job_id
 from tidebend.protocol import user as users_words
 from tidebend.provider import JoinRefused, MachineGone, Provider
-from tidebend.service import Controller
 from tidebend.transport import NoAnswer, Reply, Unreachable
 
 log = logging.getLogger("control")
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -15,10 +15,10 @@
 from tidebend.control.desk import Desk
 from tidebend.control.metrics import PATH, Metrics
 from tidebend.control.settings import CONTROLLER, ControlSettings
+from tidebend.controller import Controller
 from tidebend.kvstore import Direct, Engine, StateService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
-from tidebend.service import Controller
 from tidebend.settings import Limits
 from tidebend.transport import Reply
 
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -11,9 +11,9 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from tidebend.access import Gate
+from tidebend.controller import Controller
 from tidebend.kvstore import Engine
 from tidebend.provider import Provider
-from tidebend.service import Controller
 from tidebend.transport import Reply
 
 PATH = "/metrics"
--- a/tidebend/service/__init__.py
+++ b/tidebend/controller/__init__.py
@@ -1,5 +1,5 @@
 """Wiring: one controller's parts, threads and routes."""
 
-from tidebend.service.controller import Controller, run
+from tidebend.controller.controller import Controller, run
 
 __all__ = ["Controller", "run"]
--- /dev/null
+++ b/tidebend/controller/api/__init__.py
@@ -0,0 +1,1 @@
+"""What users ask of a controller over HTTP."""
--- a/tidebend/service/users.py
+++ b/tidebend/controller/api/job_api.py
@@ -11,11 +11,11 @@
 from tidebend import protocol
 from tidebend.cluster_state.job_cache import JobBook, unpack_final
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.controller.records.job_writer import Ledger
+from tidebend.controller.records.record_limits import packed_bytes
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
 from tidebend.protocol import Invalid, JobSpec, MachineType
-from tidebend.service.ledger import Ledger
-from tidebend.service.sizes import packed_bytes
 from tidebend.settings import Settings
 from tidebend.transport import BadRequest, Reply
 
--- /dev/null
+++ b/tidebend/controller/autoscaling/__init__.py
@@ -0,0 +1,1 @@
+"""Machines rented from the cloud and returned to it."""
--- a/tidebend/service/rentals.py
+++ b/tidebend/controller/autoscaling/rentals.py
@@ -17,15 +17,15 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Fleet, Machine
 from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.autoscaling.machine_inventory import Listing
+from tidebend.controller.records.job_writer import Edit, Ledger
+from tidebend.controller.scheduler.scheduling_loop import Planner
+from tidebend.controller.workers.zone_probe import SAMPLE, Round, Witness
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.kvclient import Unavailable, Unknown
 from tidebend.protocol import Invalid, ListedMachine, MachineType
 from tidebend.quota import Usage
 from tidebend.scheduling import need_of
-from tidebend.service.ledger import Edit, Ledger
-from tidebend.service.listing import Listing
-from tidebend.service.planner import Planner
-from tidebend.service.witness import SAMPLE, Round, Witness
 from tidebend.settings import Settings
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
 from tidebend.zone_failover import Hold, Standing, leave, order
--- a/tidebend/service/controller.py
+++ b/tidebend/controller/controller.py
@@ -14,18 +14,18 @@
 from tidebend.cluster_state.job_records import HEAD, JOB
 from tidebend.cluster_state.machine_registry import Fleet
 from tidebend.cluster_state.record_chunks import PART
+from tidebend.controller import connection_limits
+from tidebend.controller.api.job_api import Users
+from tidebend.controller.autoscaling.rentals import Rentals
+from tidebend.controller.quota.quota_rebalancing import ShareMoves
+from tidebend.controller.records.job_writer import Ledger
+from tidebend.controller.records.record_limits import Sizes
+from tidebend.controller.scheduler.scheduling_loop import Planner
+from tidebend.controller.workers.heartbeats import Dispatcher, Workers
+from tidebend.controller.workers.zone_probe import Witness
 from tidebend.coordination import Coordinator, PeerLink, block_of
 from tidebend.coordination.schema_version import FORMAT, Formats
 from tidebend.kvclient import FINAL, Mirror, StateClient
-from tidebend.service import sockets
-from tidebend.service.ledger import Ledger
-from tidebend.service.planner import Planner
-from tidebend.service.rentals import Rentals
-from tidebend.service.shares import ShareMoves
-from tidebend.service.sizes import Sizes
-from tidebend.service.users import Users
-from tidebend.service.witness import Witness
-from tidebend.service.workers import Dispatcher, Workers
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, Reply, Server
 
@@ -166,8 +166,8 @@
 
     def start(self) -> Server:
         server = Server(self.settings.listen, self.route, idle_s=2.0 * self.settings.lease_s,
-                        body_s=min(5.0, self.settings.lease_s / 2.0), most=sockets.incoming(self.settings),
-                        backlog=sockets.backlog(self.settings))
+                        body_s=min(5.0, self.settings.lease_s / 2.0), most=connection_limits.incoming(self.settings),
+                        backlog=connection_limits.backlog(self.settings))
         self.begin()
         return server
 
--- /dev/null
+++ b/tidebend/controller/quota/__init__.py
@@ -0,0 +1,1 @@
+"""Moves of teams' quota among zones."""
--- a/tidebend/service/reclaims.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -7,10 +7,10 @@
 
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.job_records import Job
+from tidebend.controller.quota.quota_rebalancing import ShareMoves
+from tidebend.controller.records.completions import Ends
 from tidebend.kvclient import Conflict
 from tidebend.quota import Amounts
-from tidebend.service.ends import Ends
-from tidebend.service.shares import ShareMoves
 from tidebend.settings import Settings
 
 
--- a/tidebend/service/ends.py
+++ b/tidebend/controller/records/completions.py
@@ -12,12 +12,12 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Fleet, Machine
 from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.records.job_writer import Edit, Ledger
+from tidebend.controller.records.record_limits import packed_bytes
+from tidebend.controller.scheduler.run_time_estimates import Estimates
 from tidebend.coordination import Coordinator, Grant, block_of
 from tidebend.protocol import JobSpec
 from tidebend.quota import Amounts, Usage
-from tidebend.service.estimates import Estimates
-from tidebend.service.ledger import Edit, Ledger
-from tidebend.service.sizes import packed_bytes
 from tidebend.settings import Settings
 
 log = logging.getLogger("planner")
--- a/tidebend/service/ledger.py
+++ b/tidebend/controller/records/job_writer.py
@@ -8,13 +8,13 @@
 
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.job_records import Job
+from tidebend.controller.quota.quota_rebalancing import ShareMoves
+from tidebend.controller.records.record_limits import MOST_BYTES, Sizes
+from tidebend.controller.records.record_splitter import Splitting
+from tidebend.controller.records.transaction_builder import Drafts, TooLarge
 from tidebend.kvclient import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
 from tidebend.protocol import Write
 from tidebend.quota import QUOTA, TEAM, Amounts, Usage
-from tidebend.service.drafts import Drafts, TooLarge
-from tidebend.service.shares import ShareMoves
-from tidebend.service.sizes import MOST_BYTES, Sizes
-from tidebend.service.splitting import Splitting
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/splitting.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -8,11 +8,11 @@
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.job_records import HEAD
 from tidebend.cluster_state.record_chunks import Parts, part_size
+from tidebend.controller.records.record_limits import CLAIMS_SHARE, Sizes, packed_bytes
+from tidebend.controller.records.transaction_builder import part_key
 from tidebend.coordination.schema_version import FORMAT
 from tidebend.kvclient import Conflict, Mirror
 from tidebend.protocol import Write
-from tidebend.service.drafts import part_key
-from tidebend.service.sizes import CLAIMS_SHARE, Sizes, packed_bytes
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/drafts.py
+++ b/tidebend/controller/records/transaction_builder.py
@@ -9,11 +9,11 @@
 from tidebend.cluster_state.job_cache import JobBook, pack_final
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.record_chunks import PART
+from tidebend.controller.records.record_limits import CLAIMS_SHARE, Sizes, packed_bytes
 from tidebend.coordination.schema_version import Formats
 from tidebend.kvclient import FINAL
 from tidebend.protocol import Write
 from tidebend.quota import Usage
-from tidebend.service.sizes import CLAIMS_SHARE, Sizes, packed_bytes
 
 log = logging.getLogger("ledger")
 
--- a/tidebend/service/claims.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -10,13 +10,13 @@
 from tidebend.cluster_state.allocations import Claim
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.task_bitmap import lowest, members
+from tidebend.controller.records.completions import Ends, ProvenEnds
+from tidebend.controller.records.job_writer import Edit, Ledger
+from tidebend.controller.scheduler.free_capacity import Found
+from tidebend.controller.scheduler.pending_jobs import Waiting
 from tidebend.coordination import Coordinator
 from tidebend.quota import Usage
 from tidebend.scheduling import Demand, Placement, Want, value_of
-from tidebend.service.ends import Ends, ProvenEnds
-from tidebend.service.ledger import Edit, Ledger
-from tidebend.service.places import Found
-from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
 
 log = logging.getLogger("planner")
--- a/tidebend/service/places.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -10,11 +10,11 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Fleet, Machine
 from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.records.completions import Key
+from tidebend.controller.scheduler.run_time_estimates import Estimates
 from tidebend.coordination import Coordinator, Grant, block_of
 from tidebend.protocol import MachineType
 from tidebend.scheduling import Amount, Place, Timeline, need_of
-from tidebend.service.ends import Key
-from tidebend.service.estimates import Estimates
 from tidebend.settings import Settings
 
 Found = dict[str, tuple[Place, Machine, Grant]]
--- a/tidebend/service/waiting.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -10,12 +10,12 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Fleet
 from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.records.completions import Ends
+from tidebend.controller.scheduler.run_time_estimates import Estimates
 from tidebend.coordination import Coordinator
 from tidebend.protocol import JobSpec, MachineType
 from tidebend.quota import Usage
 from tidebend.scheduling import Demand, Owed, Value, Want, demands, is_reserved, largest_share, own_demand, value_of
-from tidebend.service.ends import Ends
-from tidebend.service.estimates import Estimates
 from tidebend.settings import Settings
 from tidebend.zone_failover import without
 
--- a/tidebend/service/room.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -9,12 +9,12 @@
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.machine_registry import Fleet, Machine
 from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.records.completions import Key
+from tidebend.controller.scheduler.free_capacity import Found
+from tidebend.controller.scheduler.staggered_claims import Turns, order_of
 from tidebend.coordination import Coordinator, block_of
 from tidebend.protocol import PRIORITIES, MachineType
 from tidebend.scheduling import Amount, Place, Want, allowed_on, need_of, times_fit
-from tidebend.service.ends import Key
-from tidebend.service.places import Found
-from tidebend.service.turns import Turns, order_of
 from tidebend.settings import Settings
 
 log = logging.getLogger("planner")
--- a/tidebend/service/planner.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -11,20 +11,20 @@
 
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.machine_registry import Fleet
+from tidebend.controller.quota.quota_rebalancing import ShareMoves
+from tidebend.controller.quota.quota_release import Reclaims
+from tidebend.controller.records.completions import Ends
+from tidebend.controller.records.job_writer import Ledger
+from tidebend.controller.scheduler.allocator import Claims
+from tidebend.controller.scheduler.free_capacity import Places
+from tidebend.controller.scheduler.pending_jobs import Waiting
+from tidebend.controller.scheduler.preemption import Room
+from tidebend.controller.scheduler.run_time_estimates import Estimates
+from tidebend.controller.scheduler.staggered_claims import Turns, order_of
 from tidebend.coordination import Coordinator, block_of, zone_of
 from tidebend.kvclient import Conflict, Unavailable, Unknown
 from tidebend.protocol import MachineType
 from tidebend.scheduling import Place, Placement, Want, allowed_on, map_tasks, need_of, times_fit
-from tidebend.service.claims import Claims
-from tidebend.service.ends import Ends
-from tidebend.service.estimates import Estimates
-from tidebend.service.ledger import Ledger
-from tidebend.service.places import Places
-from tidebend.service.reclaims import Reclaims
-from tidebend.service.room import Room
-from tidebend.service.shares import ShareMoves
-from tidebend.service.turns import Turns, order_of
-from tidebend.service.waiting import Waiting
 from tidebend.settings import Settings
 from tidebend.zone_failover import part_of
 
--- a/tidebend/service/workers.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -13,11 +13,11 @@
 from tidebend import protocol
 from tidebend.cluster_state.job_cache import JobBook
 from tidebend.cluster_state.machine_registry import Fleet, cancelled_stops, orders
+from tidebend.controller import connection_limits
+from tidebend.controller.api.job_api import parse_body, unsure
 from tidebend.coordination import Coordinator, Grant, PeerLink, block_of
 from tidebend.kvclient import Mirror
 from tidebend.protocol import Invalid, Report
-from tidebend.service import sockets
-from tidebend.service.users import parse_body, unsure
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, NoAnswer, Reply, Unreachable
 
@@ -136,7 +136,7 @@
         self._timeout = min(2.0, settings.report_s)
 
     def start(self) -> None:
-        for number in range(self.THREADS + sockets.asking(self.settings)):
+        for number in range(self.THREADS + connection_limits.asking(self.settings)):
             rows = self._healthy if number < self.THREADS else self._silent
             threading.Thread(target=self._run, args=(rows,), name=f"dispatch-{number}", daemon=True).start()
 
@@ -192,7 +192,8 @@
             if client is None:
                 client = self._clients[address] = self._connect(address, keep=1)
             self._clients.move_to_end(address)
-            old = self._clients.popitem(last=False)[1] if len(self._clients) > sockets.kept(self.settings) else None
+            too_many = len(self._clients) > connection_limits.kept(self.settings)
+            old = self._clients.popitem(last=False)[1] if too_many else None
         if old is not None:
             old.close()
         self._deliver(name, zone, session, client)
