--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from tidebend.agent.diary import BadDiary, Begun, Diary
 from tidebend.agent.output import Output, read
 from tidebend.agent.processes import boot_id, end_leftovers, look
 from tidebend.agent.worker import Late, Worker
+from tidebend.agent.write_ahead_log import BadDiary, Begun, Diary
 from tidebend.messages import Bounds, Description, Joined, Mustered
 from tidebend.protocol import Command
 from tidebend.protocol.worker import Answer, Direct
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tidebend.agent.diary import Begun, Diary
 from tidebend.agent.processes import MARK, boot_id, look
+from tidebend.agent.write_ahead_log import Begun, Diary
 from tidebend.kvstore import Engine
 from tidebend.protocol import rent
 from tidebend.provider import AgentProcesses, JoinRefused, Kind, MachineGone, Provider
@@ -128,7 +128,7 @@
     stray = subprocess.Popen(["sleep", "72"], env={MARK: "m2", "PATH": "/bin:/usr/bin"}, start_new_session=True)
     holder = subprocess.Popen([sys.executable, "-c", "import sys, time; from pathlib import Path\n"
                                "from tidebend.kvstore.disk_log import DirectoryLock\n"
-                               "from tidebend.agent.diary import Diary\n"
+                               "from tidebend.agent.write_ahead_log import Diary\n"
                                "from tidebend.agent.processes import look, boot_id\n"
                                "import os; place = Path(sys.argv[1]); lock = DirectoryLock(place); d = Diary(place)\n"
                                "d.note(pid=str(os.getpid()), started=str(look(os.getpid()).started), boot=boot_id())\n"
--- a/tidebend/agent/__init__.py
+++ b/tidebend/agent/__init__.py
@@ -1,7 +1,7 @@
 """The thin agent: reports and obeys, keeps its tasks as processes, and decides nothing about placement."""
 
-from tidebend.agent.diary import Diary
 from tidebend.agent.main import run_agent
 from tidebend.agent.processes import end_leftovers
+from tidebend.agent.write_ahead_log import Diary
 
 __all__ = ["Diary", "end_leftovers", "run_agent"]
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 from tidebend.access import Gate, KeyedClient, Keyring, place
-from tidebend.agent import doors
-from tidebend.agent.diary import Diary
-from tidebend.agent.link import Gone, Link, join
+from tidebend.agent import endpoints
+from tidebend.agent.control_connection import Gone, Link, join
 from tidebend.agent.processes import boot_id, end_leftovers, look
 from tidebend.agent.settings import AgentSettings
 from tidebend.agent.worker import Worker
+from tidebend.agent.write_ahead_log import Diary
 from tidebend.kvstore.disk_log import DirectoryLock, Held
 from tidebend.messages import Joined, Joining
 from tidebend.transport import Reply
@@ -86,7 +86,7 @@
                 min(5.0, terms.lease_s / 2), MOST_CONNECTIONS, settings.tls.server() if settings.tls else None)
     worker = Worker(settings.place(), diary, terms, f"{gate.server_address[0]}:{gate.port}", settings.kind,
                     lambda _: link.fetch_wanted.set(), link.muster_wanted.set, link.changed.set)
-    gate.route = doors.route(worker)
+    gate.route = endpoints.route(worker)
     thread = worker.start()
     link.start(worker)
     threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 1.0}, name="doors", daemon=True).start()
--- a/tidebend/agent/processes.py
+++ b/tidebend/agent/processes.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tidebend.agent.diary import Begun, Diary
+from tidebend.agent.write_ahead_log import Begun, Diary
 from tidebend.messages import Bounds
 
 MARK = "TIDEBEND_MARK"
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -26,8 +26,7 @@
 from typing import Any
 
 from tidebend.agent import output
-from tidebend.agent.diary import Begun, Diary
-from tidebend.agent.history import History
+from tidebend.agent.event_log import History
 from tidebend.agent.images import Images
 from tidebend.agent.processes import (
     MARK,
@@ -42,6 +41,7 @@
     signal_group,
 )
 from tidebend.agent.tasks import Task, inherited
+from tidebend.agent.write_ahead_log import Begun, Diary
 from tidebend.faults import point
 from tidebend.messages import Description, Joined, Mustered
 from tidebend.protocol import Command
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -199,10 +199,10 @@
 
 def _agent(arguments: argparse.Namespace) -> int:
     from tidebend import logs
-    from tidebend.agent.diary import BadDiary
-    from tidebend.agent.link import Refused
+    from tidebend.agent.control_connection import Refused
     from tidebend.agent.main import run_agent
     from tidebend.agent.settings import load_agent_settings
+    from tidebend.agent.write_ahead_log import BadDiary
     from tidebend.kvstore.disk_log import Held
 
     settings = load_agent_settings(arguments.config)
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -17,8 +17,8 @@
 
 from tidebend.access import Tls
 from tidebend.agent import Diary, end_leftovers
-from tidebend.agent.diary import BadDiary, Begun
 from tidebend.agent.processes import is_there
+from tidebend.agent.write_ahead_log import BadDiary, Begun
 from tidebend.kvstore.disk_log import DirectoryLock, Held
 
 log = logging.getLogger("provider")
