--- a/tests/test_muster.py
+++ b/tests/test_muster.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tidebend.control.muster import Musters
+from tidebend.control.gang_barrier import Musters
 from tidebend.messages import Muster
 
 PEER_S = 5.0
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -167,7 +167,7 @@
 # Services: imported only by the command that runs them
 
 def _up(arguments: argparse.Namespace) -> int:
-    from tidebend.control.first import settings_file
+    from tidebend.control.bootstrap import settings_file
 
     directory = data_directory(arguments.data)
     path = Path(arguments.config) if arguments.config else settings_file(directory)
--- a/tidebend/control/desk.py
+++ b/tidebend/control/api.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from tidebend.access import KeyedClient
-from tidebend.control.muster import Musters
+from tidebend.control.gang_barrier import Musters
 from tidebend.controller import Controller
 from tidebend.kvstore import Engine, Failed
 from tidebend.kvstore.engine import ConditionFailed, Write
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from tidebend.access import Gate, KeyedClient, Keyring, make_ring, place
-from tidebend.control.desk import Desk
+from tidebend.control.api import Desk
 from tidebend.control.metrics import PATH, Metrics
 from tidebend.control.settings import CONTROLLER, ControlSettings
 from tidebend.controller import Controller
