--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tidebend.access import Keyring
-from tidebend.client.desk import Desk, NoControl
+from tidebend.client.api_client import Desk, NoControl
 from tidebend.client.jobfile import JobBlock, Ready, new_id
 from tools.loopback import LEASE_S, TASK, Asked, Loopback
 
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -26,8 +26,8 @@
     make_ring,
     rotate_ring,
 )
-from tidebend.client import show
-from tidebend.client.desk import PATIENCE_S, Desk, NoControl, NotTaken, data_directory
+from tidebend.client import rendering
+from tidebend.client.api_client import PATIENCE_S, Desk, NoControl, NotTaken, data_directory
 from tidebend.client.jobfile import JobBlock, one_job, read_jobs
 from tidebend.control.main import KEYS
 from tidebend.hcl import BadFile
@@ -171,7 +171,7 @@
 
     directory = data_directory(arguments.data)
     path = Path(arguments.config) if arguments.config else settings_file(directory)
-    return _serve(path, directory, show.up)
+    return _serve(path, directory, rendering.up)
 
 
 def _control(arguments: argparse.Namespace) -> int:
@@ -237,23 +237,23 @@
             rows.append({"job": job.job, "name": job.name, "state": desk.submit(job)})
         except (NoControl, NotTaken) as error:
             # what was taken stays taken, and has to be named even so
-            _print(arguments, rows, show.submitted)
+            _print(arguments, rows, rendering.submitted)
             return _complain(REFUSED if isinstance(error, NotTaken) else NO_CONTROL, f"{job.name}: {error}")
     if not arguments.wait:
-        _print(arguments, rows, show.submitted)
+        _print(arguments, rows, rendering.submitted)
         return FINE
     return _until_over(arguments, desk, [row["job"] for row in rows])
 
 
 def _status(arguments: argparse.Namespace) -> int:
     desk = _desk(arguments)
-    _print(arguments, [desk.job(job) for job in arguments.jobs], show.details)
+    _print(arguments, [desk.job(job) for job in arguments.jobs], rendering.details)
     return FINE
 
 
 def _list(arguments: argparse.Namespace) -> int:
     jobs = [job for job in _desk(arguments).jobs(arguments.most) if arguments.state in (None, job["state"])]
-    _print(arguments, jobs, show.jobs)
+    _print(arguments, jobs, rendering.jobs)
     return FINE
 
 
@@ -264,7 +264,7 @@
 def _until_over(arguments: argparse.Namespace, desk: Desk, names: list[str]) -> int:
     deadline = time.monotonic() + arguments.timeout if arguments.timeout is not None else float("inf")
     pause = 0.05
-    with show.progress(not arguments.json) as progress:
+    with rendering.progress(not arguments.json) as progress:
         while True:
             jobs = [desk.job(name) for name in names]
             progress(jobs)
@@ -272,7 +272,7 @@
                 break
             time.sleep(min(pause, max(0.0, deadline - time.monotonic())))
             pause = min(1.0, 1.3 * pause)
-    _print(arguments, jobs, show.jobs)
+    _print(arguments, jobs, rendering.jobs)
     if not all(words.ended(job["state"]) for job in jobs):
         return TIME_UP
     return FINE if all(job["state"] == "done" for job in jobs) else FAILED
@@ -294,7 +294,7 @@
 def _cancel(arguments: argparse.Namespace) -> int:
     desk = _desk(arguments)
     rows = [{"job": job, "state": desk.cancel(job)} for job in arguments.jobs]
-    _print(arguments, rows, show.submitted)
+    _print(arguments, rows, rendering.submitted)
     return FINE if all(row["state"] == "cancelled" for row in rows) else FAILED
 
 
@@ -302,16 +302,16 @@
     desk = _desk(arguments)
     if arguments.forget:
         desk.forget(arguments.forget)
-    _print(arguments, desk.agents(), show.agents)
+    _print(arguments, desk.agents(), rendering.agents)
     return FINE
 
 
 def _top(arguments: argparse.Namespace) -> int:
     desk = _desk(arguments)
     if arguments.json or arguments.once:
-        _print(arguments, {"agents": desk.agents(), "jobs": desk.jobs(20)}, show.top)
+        _print(arguments, {"agents": desk.agents(), "jobs": desk.jobs(20)}, rendering.top)
         return FINE
-    show.live(desk, arguments.every)
+    rendering.live(desk, arguments.every)
     return FINE
 
 
@@ -325,7 +325,7 @@
     # never the secrets: what is shown ends up in terminals and logs
     rows = [{"key": key.name, "made": key.made, "until": key.until,
              "in_force": key.until is None or key.until > now} for key in Keyring(path).accepted()]
-    _print(arguments, {"file": str(path), "keys": rows}, show.keys)
+    _print(arguments, {"file": str(path), "keys": rows}, rendering.keys)
     return FINE
 
 
@@ -336,5 +336,5 @@
             return _complain(WRONG, "certs make takes --host HOST, once for each name or address that it is for")
         make_certificate(directory, arguments.name, arguments.hosts)
     rows = [{"file": str(path), "until": expires(path).timestamp()} for path in sorted(directory.glob("*.pem"))]
-    _print(arguments, rows, show.certificates)
+    _print(arguments, rows, rendering.certificates)
     return FINE
--- a/tidebend/client/show.py
+++ b/tidebend/client/rendering.py
@@ -14,7 +14,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from tidebend.client.desk import Desk, NoControl
+from tidebend.client.api_client import Desk, NoControl
 
 COLOURS = {"queued": "yellow", "running": "cyan", "done": "green", "cancelled": "magenta"}
 
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -23,7 +23,7 @@
 from hdrh.histogram import HdrHistogram
 
 from tidebend.access import Keyring
-from tidebend.client.desk import Desk
+from tidebend.client.api_client import Desk
 from tidebend.client.jobfile import JobBlock, one_job
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tidebend.client.desk import Desk, NoControl, NotTaken
+from tidebend.client.api_client import Desk, NoControl, NotTaken
 from tidebend.client.jobfile import JobBlock, Ready, new_id
 from tidebend.provider.agents import AgentProcesses
 
