--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -24,8 +24,21 @@
 from tidebend.hcl import BadFile
 
 BROKEN, UNUSABLE = 1, 2
-ROWS = ("breaches", "overshoot", "stranded", "below_guarantee", "had", "least_served_team", "least_served_class",
-        "starts", "stops", "lost_cpu_s", "changes_per_start", "conflicts_per_start", "machine_s")
+ROWS = (
+    "breaches",
+    "overshoot",
+    "stranded",
+    "below_guarantee",
+    "had",
+    "least_served_team",
+    "least_served_class",
+    "starts",
+    "stops",
+    "lost_cpu_s",
+    "changes_per_start",
+    "conflicts_per_start",
+    "machine_s",
+)
 
 
 def figure(result: dict, row: str) -> float | None:
@@ -60,14 +73,19 @@
     for name, group in by_column.items():
         table.add_column(f"{name} ({len(group)})", justify="right")
     for row in ROWS:
-        table.add_row(row.replace("_", " "), *(text(figure(result, row) for result in group)
-                                               for group in by_column.values()))
+        table.add_row(
+            row.replace("_", " "), *(text(figure(result, row) for result in group) for group in by_column.values())
+        )
     table.add_section()
     for why in sorted({why for result in results for why in result["kept_by"]}):
-        table.add_row(f"kept by {why}, s", *(text(result["kept_by"].get(why, 0.0) for result in group)
-                                             for group in by_column.values()))
-    for part, wanted in (("teams", ("served", "had", "stranded", "below_guarantee", "to_limit_s")),
-                           ("classes", ("served", "wait_p90_s", "by_deadline", "stops"))):
+        table.add_row(
+            f"kept by {why}, s",
+            *(text(result["kept_by"].get(why, 0.0) for result in group) for group in by_column.values()),
+        )
+    for part, wanted in (
+        ("teams", ("served", "had", "stranded", "below_guarantee", "to_limit_s")),
+        ("classes", ("served", "wait_p90_s", "by_deadline", "stops")),
+    ):
         table.add_section()
         names = sorted({name for result in results for name in result[part]})
         for name, field in itertools.product(names if len(names) <= 12 else names[:6], wanted):
@@ -91,8 +109,9 @@
     rows = ("stranded", "below_guarantee", "had", "changes_per_start")
     drawing, axes = pyplot.subplots(1, len(rows), figsize=(3.2 * len(rows), 3.4), layout="constrained")
     for axis, row in zip(axes, rows, strict=True):
-        values = [[value for result in group if (value := figure(result, row)) is not None]
-                  for group in by_column.values()]
+        values = [
+            [value for result in group if (value := figure(result, row)) is not None] for group in by_column.values()
+        ]
         axis.bar(range(len(values)), [statistics.fmean(part) if part else 0.0 for part in values])
         axis.set_xticks(range(len(values)), list(by_column), rotation=30, ha="right", fontsize=7)
         axis.set(title=row.replace("_", " "), ylim=(0, None))
@@ -100,14 +119,22 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(prog="python3 -m lab", description=__doc__,
-                                   epilog="exit status: 0 fine, 1 a rule was broken, 2 it could not run")
+    made = argparse.ArgumentParser(
+        prog="python3 -m lab",
+        description=__doc__,
+        epilog="exit status: 0 fine, 1 a rule was broken, 2 it could not run",
+    )
     commands = made.add_subparsers(dest="command", required=True)
     common = argparse.ArgumentParser(add_help=False)
     common.add_argument("experiment", help="an HCL file, as in lab/experiments")
     common.add_argument("--seeds", default="1", help="as 1 or 1,2,3 (default 1)")
-    common.add_argument("--set", action="append", default=[], metavar="WHERE=VALUE",
-                        help="BLOCK.FIELD=VALUE or BLOCK.LABEL.FIELD=VALUE instead of what the file says")
+    common.add_argument(
+        "--set",
+        action="append",
+        default=[],
+        metavar="WHERE=VALUE",
+        help="BLOCK.FIELD=VALUE or BLOCK.LABEL.FIELD=VALUE instead of what the file says",
+    )
     common.add_argument("--json", action="store_true", help="print the reports as JSON")
     common.add_argument("--svg", metavar="FILE", help="draw the main figures")
     common.add_argument("--workers", type=int, default=4, help="plays at a time (default 4)")
@@ -115,20 +142,27 @@
     compare = commands.add_parser("compare", parents=[common], help="beside an older commit, in one run")
     compare.add_argument("--base", required=True, help="the older commit")
     commands.add_parser("sweep", parents=[common], help="every combination of comma-separated --set values")
-    model = commands.add_parser("model", help="every order of moves of shares, when small; the invariant after each",
-                                formatter_class=argparse.ArgumentDefaultsHelpFormatter)
+    model = commands.add_parser(
+        "model",
+        help="every order of moves of shares, when small; the invariant after each",
+        formatter_class=argparse.ArgumentDefaultsHelpFormatter,
+    )
     for part in fields(Size):
         model.add_argument(f"--{part.name}", type=type(part.default), default=part.default, help="of the model")
     model.add_argument("--states", type=int, default=20_000, help="visit at most so many")
     model.add_argument("--fault", choices=FAULTS, default="none", help="plant a fault, to see that it is found")
     model.add_argument("--json", action="store_true", help="print the result as JSON")
-    search = commands.add_parser("search", help="meetings of two or three troubles at random, and a calm after each",
-                                 formatter_class=argparse.ArgumentDefaultsHelpFormatter)
+    search = commands.add_parser(
+        "search",
+        help="meetings of two or three troubles at random, and a calm after each",
+        formatter_class=argparse.ArgumentDefaultsHelpFormatter,
+    )
     search.add_argument("--first", type=int, default=0, metavar="SEED", help="of the worlds")
     search.add_argument("--worlds", type=int, default=200, help="so many seeds")
     search.add_argument("--workers", type=int, default=4, help="worlds at a time")
-    search.add_argument("--fault", choices=sorted(SEARCH_FAULTS), default="",
-                        help="plant a fault, to see that it is found")
+    search.add_argument(
+        "--fault", choices=sorted(SEARCH_FAULTS), default="", help="plant a fault, to see that it is found"
+    )
     search.add_argument("--json", action="store_true", help="print each world that broke a rule as a line of JSON")
     return made
 
@@ -157,13 +191,19 @@
     size = Size(**{part.name: getattr(arguments, part.name) for part in fields(Size)})
     with Progress(console=Console(stderr=True, quiet=arguments.json)) as bar:
         task = bar.add_task("states", total=arguments.states)
-        found = explore(size, arguments.fault, arguments.states,
-                        progress=lambda states, depth: bar.update(task, completed=states) if states % 50 == 0 else None)
+        found = explore(
+            size,
+            arguments.fault,
+            arguments.states,
+            progress=lambda states, depth: bar.update(task, completed=states) if states % 50 == 0 else None,
+        )
     if arguments.json:
         print(json.dumps({**asdict(size), "fault": arguments.fault, **asdict(found)}))
     else:
-        print(f"{found.states} states, depth {found.depth}{'' if found.complete else ', bounded'}: "
-              f"{'BROKEN: ' + found.breach if found.breach else 'the invariant holds in all'}")
+        print(
+            f"{found.states} states, depth {found.depth}{'' if found.complete else ', bounded'}: "
+            f"{'BROKEN: ' + found.breach if found.breach else 'the invariant holds in all'}"
+        )
         print("".join(f"  {number}. {text}\n" for number, text in enumerate(found.way, 1)), end="")
     return BROKEN if found.breach else 0
 
@@ -183,14 +223,19 @@
         pairs = [pair.split("=", 1) for pair in arguments.set]
         if any(len(pair) != 2 for pair in pairs):
             raise ValueError("--set takes WHERE=VALUE")
-        many = [[(path, value) for value in (values.split(",") if arguments.command == "sweep" else [values])]
-                for path, values in pairs]
+        many = [
+            [(path, value) for value in (values.split(",") if arguments.command == "sweep" else [values])]
+            for path, values in pairs
+        ]
         changes = [dict(row) for row in itertools.product(*many)]
         sources = [arguments.base, None] if arguments.command == "compare" else [None]
         for row in changes:
             read(arguments.experiment, row)
-        results = play_all([(arguments.experiment, row, seed, source) for row in changes for seed in seeds
-                            for source in sources], arguments.workers, arguments.json)
+        results = play_all(
+            [(arguments.experiment, row, seed, source) for row in changes for seed in seeds for source in sources],
+            arguments.workers,
+            arguments.json,
+        )
     except (BadFile, NoVersion, ValueError) as error:
         errors.print(f"lab: {error}", markup=False, highlight=False)
         return UNUSABLE
--- a/lab/checker.py
+++ b/lab/checker.py
@@ -49,16 +49,19 @@
                 found.append(("ran_cancelled", now, f"{task} starts"))
             zones = by_job.setdefault(job, {})
             zones[zone] = zones.get(zone, 0) + 1
-            wrong = ((spec["hulls"] is not None and kind not in spec["hulls"])
-                     or (spec["harbor"] is not None and zone != spec["harbor"])
-                     or (spot and not spec["driftwood"])
-                     or (spec["samePlace"] and sum(1 for count in zones.values() if count) > 1)
-                     or (spec["spread"] and zones[zone] > (spec["pieces"] + 1) // 2))
+            wrong = (
+                (spec["hulls"] is not None and kind not in spec["hulls"])
+                or (spec["harbor"] is not None and zone != spec["harbor"])
+                or (spot and not spec["driftwood"])
+                or (spec["samePlace"] and sum(1 for count in zones.values() if count) > 1)
+                or (spec["spread"] and zones[zone] > (spec["pieces"] + 1) // 2)
+            )
             if wrong:
                 found.append(("wrong_place", now, f"{task} on {machine} ({kind}, {zone}, spot {spot})"))
             for other in spec.get("awaits") or ():
-                missing = [n for n in range(jobs[other]["pieces"])
-                           if (completed_at or {}).get(f"{other}/{n}", 1e18) > now]
+                missing = [
+                    n for n in range(jobs[other]["pieces"]) if (completed_at or {}).get(f"{other}/{n}", 1e18) > now
+                ]
                 if missing:
                     found.append(("too_early", now, f"{task} starts, and {other} lacks {missing[:3]}"))
             on.setdefault(task, {})[machine] = zone
@@ -101,13 +104,15 @@
                     if job not in cancelled:
                         cancelled[job] = now
                         overdue.append((now + cancel_s, job))
-                if state in ("queued", "running") and job not in orphans and any(
-                        now > cancelled.get(other, 1e18) + cancel_s for other in before(job)):
+                if (
+                    state in ("queued", "running")
+                    and job not in orphans
+                    and any(now > cancelled.get(other, 1e18) + cancel_s for other in before(job))
+                ):
                     orphans.add(job)
                     found.append(("orphaned", now, f"{job} is still called {state}"))
                 if state == "done" and job in jobs and completed_at is not None:
-                    missing = [n for n in range(jobs[job]["pieces"])
-                               if completed_at.get(f"{job}/{n}", 1e18) > now]
+                    missing = [n for n in range(jobs[job]["pieces"]) if completed_at.get(f"{job}/{n}", 1e18) > now]
                     if missing:
                         found.append(("not_done", now, f"{job} lacks {missing[:3]}"))
                 if state in ("done", "withdrawn"):
@@ -139,8 +144,12 @@
     `over_at`: when its troubles were over, else when `beside` last saw any.
     """
     accepted = sorted({row[3] for row in world.log if row[1] == "told" and row[4] in (200, 201)})
-    unknown = [("forgotten", world.now, f"{name}: {node} answers {status} after the calm")
-               for name in accepted for node in world.nodes if (status := world.user("poll", name, node)[0]) != 200]
+    unknown = [
+        ("forgotten", world.now, f"{name}: {node} answers {status} after the calm")
+        for name in accepted
+        for node in world.nodes
+        if (status := world.user("poll", name, node)[0]) != 200
+    ]
     found = breaches(world.log, world.jobs, world.teams, world.cancel_s, world.completed)
     return found + forgotten(world.log, beside.calm_from if over_at is None else over_at) + unknown + beside.breaches
 
@@ -185,15 +194,24 @@
 
     def _waits_beside_room(self, name):
         world, spec = self.world, self.world.jobs[name]
-        if (world.answers[name][1] in ("done", "withdrawn") or "fails_s" in spec
-                or any(name == row[2] for row in world.pending)
-                or any(world.done_tasks.get(other, 0) < world.jobs[other]["pieces"]
-                       for other in spec.get("awaits") or ())):
+        if (
+            world.answers[name][1] in ("done", "withdrawn")
+            or "fails_s" in spec
+            or any(name == row[2] for row in world.pending)
+            or any(world.done_tasks.get(other, 0) < world.jobs[other]["pieces"] for other in spec.get("awaits") or ())
+        ):
             return False
-        there = {key: worker.zone for worker in world.workers.values() for key, task in worker.tasks.items()
-                 if task.state != "ended"}
-        pending = [index for index in range(spec["pieces"]) if f"{name}/{index}" not in there
-                   and f"{name}/{index}" not in world.completed]
+        there = {
+            key: worker.zone
+            for worker in world.workers.values()
+            for key, task in worker.tasks.items()
+            if task.state != "ended"
+        }
+        pending = [
+            index
+            for index in range(spec["pieces"])
+            if f"{name}/{index}" not in there and f"{name}/{index}" not in world.completed
+        ]
         gang = spec["shape"] == "group"
         if not pending or gang and len(pending) < spec["pieces"]:
             return False  # the rest of a gang ends first
@@ -216,10 +234,14 @@
 
     def _fits(self, worker, spec):
         world = self.world
-        return (world.now >= max(worker.hung_until, worker.sick_until) and worker.notice is None
-                and world.now - worker.began > world.lease_s  # it has just come up
-                and (spec["hulls"] is None or worker.kind in spec["hulls"])
-                and spec["harbor"] in (None, worker.zone) and (spec["driftwood"] or not worker.spot))
+        return (
+            world.now >= max(worker.hung_until, worker.sick_until)
+            and worker.notice is None
+            and world.now - worker.began > world.lease_s  # it has just come up
+            and (spec["hulls"] is None or worker.kind in spec["hulls"])
+            and spec["harbor"] in (None, worker.zone)
+            and (spec["driftwood"] or not worker.spot)
+        )
 
     def _under_limit(self, spec, tasks):
         world = self.world
@@ -231,5 +253,6 @@
                     used[0] += other["vcpus"]
                     used[1] += other["accelerators"]
         limit = next(team for team in world.teams if team["name"] == spec["crew"])
-        return (used[0] + tasks * spec["vcpus"] <= (limit.get("cpus_max") or 1e18)
-                and used[1] + tasks * spec["accelerators"] <= (limit.get("gpus_max") or 1e18))
+        return used[0] + tasks * spec["vcpus"] <= (limit.get("cpus_max") or 1e18) and used[1] + tasks * spec[
+            "accelerators"
+        ] <= (limit.get("gpus_max") or 1e18)
--- a/lab/cloud.py
+++ b/lab/cloud.py
@@ -59,20 +59,34 @@
         if method == "POST":
             if body["charter"] not in self.rentals:
                 left = self.capacity.get((body["hull"], body["harbor"], body["driftwood"]), 0)
-                held = sum(1 for row in self.machines.values() if row.gone_at is None
-                           and (row.kind, row.zone, row.spot) == (body["hull"], body["harbor"], body["driftwood"]))
+                held = sum(
+                    1
+                    for row in self.machines.values()
+                    if row.gone_at is None
+                    and (row.kind, row.zone, row.spot) == (body["hull"], body["harbor"], body["driftwood"])
+                )
                 count = min(body["howMany"], int(left - held))
                 if count < 1:
                     return 503, {"error": "no capacity"}
                 boot_s = self.world.kinds[body["hull"]]["startupS"]
                 boot_s = 1e9 if self.never_up else boot_s
-                self.rentals[body["charter"]] = [self.add(body["hull"], body["harbor"], body["driftwood"], boot_s)
-                                                 for _ in range(count)]
+                self.rentals[body["charter"]] = [
+                    self.add(body["hull"], body["harbor"], body["driftwood"], boot_s) for _ in range(count)
+                ]
                 self.rented += count
             return 200, {"fleet": self.rentals[body["charter"]]}
         then = self.world.now - self.world.list_lag_s
-        rows = [{"id": name, "hull": row.kind, "harbor": row.zone, "driftwood": row.spot, "heldS": then - row.rented,
-                 "address": f"10.1.0.{int(name[3:])}:9000", "tide": "running" if then >= row.up_at else "starting"}
-                for name, row in self.machines.items()
-                if row.rented <= then and (row.gone_at is None or row.gone_at > then)]
+        rows = [
+            {
+                "id": name,
+                "hull": row.kind,
+                "harbor": row.zone,
+                "driftwood": row.spot,
+                "heldS": then - row.rented,
+                "address": f"10.1.0.{int(name[3:])}:9000",
+                "tide": "running" if then >= row.up_at else "starting",
+            }
+            for name, row in self.machines.items()
+            if row.rented <= then and (row.gone_at is None or row.gone_at > then)
+        ]
         return 200, {"fleet": rows, "more": False}
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -130,9 +130,15 @@
     file.only("cluster", "state", "type", "team", "jobs", "trouble")
     for where, text in (changes or {}).items():
         _set(file.values, where, text)
-    made = Experiment(path.rpartition("/")[2].removesuffix(".hcl"), file.block("cluster", Cluster),
-                      file.block("state", State), file.labelled("type", Kind), file.labelled("team", TeamBlock),
-                      file.labelled("jobs", Jobs), file.labelled("trouble", Trouble))
+    made = Experiment(
+        path.rpartition("/")[2].removesuffix(".hcl"),
+        file.block("cluster", Cluster),
+        file.block("state", State),
+        file.labelled("type", Kind),
+        file.labelled("team", TeamBlock),
+        file.labelled("jobs", Jobs),
+        file.labelled("trouble", Trouble),
+    )
     for name, kinds in (("type", made.kinds), ("team", made.teams), ("jobs", made.jobs)):
         if not kinds:
             raise file.error((name,), f'expected at least one {name} "LABEL" {{ ... }}')
@@ -140,8 +146,10 @@
         for team in jobs.teams:
             if team not in made.teams:
                 raise file.error(("jobs", label, "teams"), f"no team {team!r}; expected one of {', '.join(made.teams)}")
-        if not any(jobs.cpus <= kind.cpus and jobs.gpus <= kind.gpus and jobs.memory_gb <= kind.memory_gb
-                   for kind in made.kinds.values()):
+        if not any(
+            jobs.cpus <= kind.cpus and jobs.gpus <= kind.gpus and jobs.memory_gb <= kind.memory_gb
+            for kind in made.kinds.values()
+        ):
             raise file.error(("jobs", label, "cpus"), "its tasks fit on no type of machine")
     controllers = made.cluster.controllers or made.cluster.zones
     for label, trouble in made.troubles.items():
--- a/lab/links.py
+++ b/lab/links.py
@@ -21,8 +21,14 @@
         self.link, self.address = link, address
 
     def request(self, method, path, body=None, timeout=2.0):
-        return self.link.world.from_controller(self.link.node, self.link.version, self.address, method, path,
-                                               json.loads(json.dumps(body)) if body is not None else None)
+        return self.link.world.from_controller(
+            self.link.node,
+            self.link.version,
+            self.address,
+            method,
+            path,
+            json.loads(json.dumps(body)) if body is not None else None,
+        )
 
     def close(self):
         pass
--- a/lab/model.py
+++ b/lab/model.py
@@ -116,8 +116,7 @@
 
     def held(self) -> dict[str, tuple[str, int]]:
         blocks = {zone: self.cache[f"block/{zone}"] for zone in self.model.zones}
-        return {zone: (f"block/{zone}", version) for zone, (holder, version) in blocks.items()
-                if holder == self.number}
+        return {zone: (f"block/{zone}", version) for zone, (holder, version) in blocks.items() if holder == self.number}
 
     # the mirror
 
@@ -223,7 +222,7 @@
             if state.caches[number] != state.items:
                 yield self._act(state, number, "reads", lambda h: h.cache.update(h.items))
         for number, transaction in enumerate(state.pending):
-            rest = state.pending[:number] + state.pending[number + 1:]
+            rest = state.pending[:number] + state.pending[number + 1 :]
             yield "late", lambda _, t=transaction, r=rest: self._late(state, t, r)
         if state.moved < self.size.moves:
             holders = {key: value for key, value, _ in state.items}
@@ -241,21 +240,25 @@
                 text += f" ({type(error).__name__}: {error})"
             caches, doubts = list(state.caches), list(state.doubts)
             caches[number], doubts[number] = self._rows(holder.cache), bool(holder.shares._doubtful)
-            return text, self.canonical(State(self._rows(holder.items), tuple(caches), tuple(doubts),
-                                              tuple(holder.pending), state.moved))
+            return text, self.canonical(
+                State(self._rows(holder.items), tuple(caches), tuple(doubts), tuple(holder.pending), state.moved)
+            )
+
         return what, run
 
     def _late(self, state: State, transaction: Pending, rest: tuple[Pending, ...]) -> tuple[str, State]:
         items = {key: (value, version) for key, value, version in state.items}
         done = apply(items, transaction)
         return f"a transaction arrives late, {'executed' if done else 'refused'}", self.canonical(
-            replace(state, items=self._rows(items), pending=rest))
+            replace(state, items=self._rows(items), pending=rest)
+        )
 
     def _move(self, state: State, zone: str, number: int) -> tuple[str, State]:
         items = {key: (value, version) for key, value, version in state.items}
         apply(items, ((), ((f"block/{zone}", number),)))
         return f"block {zone} goes to holder {number}", self.canonical(
-            replace(state, items=self._rows(items), moved=state.moved + 1))
+            replace(state, items=self._rows(items), moved=state.moved + 1)
+        )
 
     def after(self, state: State) -> Iterator[tuple[str, State]]:
         """Every next state, with what leads to it."""
@@ -287,13 +290,20 @@
 
         def rows(old: tuple) -> tuple:
             return tuple((key, value, rank[version]) for key, value, version in old)
-        pending = tuple((tuple((key, rank[version]) for key, version in conditions), writes)
-                        for conditions, writes in state.pending)
+
+        pending = tuple(
+            (tuple((key, rank[version]) for key, version in conditions), writes) for conditions, writes in state.pending
+        )
         return State(rows(state.items), tuple(map(rows, state.caches)), state.doubts, pending, state.moved)
 
 
-def explore(size: Size, fault: str = "none", most: int = 10_000, depth: int = 1000,
-            progress: Callable[[int, int], None] = lambda states, depth: None) -> Found:
+def explore(
+    size: Size,
+    fault: str = "none",
+    most: int = 10_000,
+    depth: int = 1000,
+    progress: Callable[[int, int], None] = lambda states, depth: None,
+) -> Found:
     """Visit at most `most` states, no deeper than `depth` steps; the first breach ends it."""
     model, found = Model(size, fault), Found()
     begin = model.canonical(model.first())
--- a/lab/play.py
+++ b/lab/play.py
@@ -37,29 +37,84 @@
 def _job(label: str, jobs: Jobs, team: str, chance: random.Random) -> dict:
     run_s = 0.0 if jobs.kind == "service" else jobs.run_s * math.exp(chance.gauss(0.0, 0.3))
     estimate = run_s * math.exp(chance.gauss(0.0, jobs.wrong_by))
-    return {"tier": label, "crew": team, "shape": _SHAPES[jobs.kind], "rank": _RANKS[jobs.priority],
-            "pieces": chance.choice(jobs.tasks), "vcpus": jobs.cpus, "accelerators": jobs.gpus,
-            "memoryGb": jobs.memory_gb, "cargo": f"{label}-{chance.randrange(jobs.images)}", "sizeGb": jobs.image_gb,
-            "hulls": None, "harbor": None, "samePlace": jobs.one_zone, "spread": jobs.spread, "driftwood": jobs.spot,
-            "reckonS": estimate, "markS": jobs.checkpoint_s, "stowS": jobs.save_s,
-            "dueS": jobs.deadline_s or None, "run_s": run_s}
+    return {
+        "tier": label,
+        "crew": team,
+        "shape": _SHAPES[jobs.kind],
+        "rank": _RANKS[jobs.priority],
+        "pieces": chance.choice(jobs.tasks),
+        "vcpus": jobs.cpus,
+        "accelerators": jobs.gpus,
+        "memoryGb": jobs.memory_gb,
+        "cargo": f"{label}-{chance.randrange(jobs.images)}",
+        "sizeGb": jobs.image_gb,
+        "hulls": None,
+        "harbor": None,
+        "samePlace": jobs.one_zone,
+        "spread": jobs.spread,
+        "driftwood": jobs.spot,
+        "reckonS": estimate,
+        "markS": jobs.checkpoint_s,
+        "stowS": jobs.save_s,
+        "dueS": jobs.deadline_s or None,
+        "run_s": run_s,
+    }
 
 
 def build(experiment: Experiment, seed: int, version: Version | None) -> World:
     cluster, chance = experiment.cluster, random.Random(seed)
     zones = [f"zone-{number}" for number in range(cluster.zones)]
-    teams = [{"name": name, "cpus": team.guaranteed, "cpus_max": team.limit, "gpus": team.guaranteed_gpus,
-              "gpus_max": team.limit_gpus}
-             for label, team in experiment.teams.items() for name in experiment.team_names(label)]
-    types = [{"name": name, "vcpus": kind.cpus, "accelerators": kind.gpus, "memoryGb": kind.memory_gb,
-              "localGb": 50.0, "fetchGbPerS": kind.fetch_gb_per_s, "price": kind.price, "spotPrice": kind.spot_price,
-              "startupS": kind.boot_s, "harbors": zones} for name, kind in experiment.kinds.items()]
-    objectives = [{"kind": "deadline", "class": label, "share": 0.9, "times": 1.0}
-                  for label, jobs in experiment.jobs.items() if jobs.deadline_s]
-    world = World(seed, zones, teams, types, cluster.lease_s, cluster.report_s, cluster.cancel_s, cluster.list_lag_s,
-                  cluster.controllers, {"rps": experiment.state.rps, "write_rps": experiment.state.write_rps,
-                                        "value_kb": experiment.state.value_kb, "txn_ops": experiment.state.txn_ops},
-                  cluster.cloud_rps, objectives, polls=(5.0, 30.0))
+    teams = [
+        {
+            "name": name,
+            "cpus": team.guaranteed,
+            "cpus_max": team.limit,
+            "gpus": team.guaranteed_gpus,
+            "gpus_max": team.limit_gpus,
+        }
+        for label, team in experiment.teams.items()
+        for name in experiment.team_names(label)
+    ]
+    types = [
+        {
+            "name": name,
+            "vcpus": kind.cpus,
+            "accelerators": kind.gpus,
+            "memoryGb": kind.memory_gb,
+            "localGb": 50.0,
+            "fetchGbPerS": kind.fetch_gb_per_s,
+            "price": kind.price,
+            "spotPrice": kind.spot_price,
+            "startupS": kind.boot_s,
+            "harbors": zones,
+        }
+        for name, kind in experiment.kinds.items()
+    ]
+    objectives = [
+        {"kind": "deadline", "class": label, "share": 0.9, "times": 1.0}
+        for label, jobs in experiment.jobs.items()
+        if jobs.deadline_s
+    ]
+    world = World(
+        seed,
+        zones,
+        teams,
+        types,
+        cluster.lease_s,
+        cluster.report_s,
+        cluster.cancel_s,
+        cluster.list_lag_s,
+        cluster.controllers,
+        {
+            "rps": experiment.state.rps,
+            "write_rps": experiment.state.write_rps,
+            "value_kb": experiment.state.value_kb,
+            "txn_ops": experiment.state.txn_ops,
+        },
+        cluster.cloud_rps,
+        objectives,
+        polls=(5.0, 30.0),
+    )
     if version is not None:
         world.versions.update(dict.fromkeys(world.nodes, version))
     for name, kind in experiment.kinds.items():
@@ -110,12 +165,18 @@
         cut_zone(world, zone, trouble.seconds, trouble.hold)
     else:  # a roll: one controller after the other, each away for `seconds`
         for number in range(len(world.nodes)):
-            later(world.now + 2.5 * number * trouble.seconds,
-                  Trouble(at=0.0, what="crash", node=number, seconds=trouble.seconds))
-
-
-def play(experiment: Experiment, seed: int, version: Version | None = None,
-         progress: Callable[[float], None] = lambda share: None) -> dict:
+            later(
+                world.now + 2.5 * number * trouble.seconds,
+                Trouble(at=0.0, what="crash", node=number, seconds=trouble.seconds),
+            )
+
+
+def play(
+    experiment: Experiment,
+    seed: int,
+    version: Version | None = None,
+    progress: Callable[[float], None] = lambda share: None,
+) -> dict:
     """The report of one play; `version` None: the code at hand."""
     random.seed(seed)  # what the controllers draw
     chance = random.Random(seed + 1)
@@ -142,6 +203,7 @@
             sampler.look()
             progress(now / experiment.cluster.seconds)
     made = report(world, sampler)
-    made["breaches"] = [list(row) for row in breaches(world.log, world.jobs, world.teams, world.cancel_s,
-                                                      world.completed)]
+    made["breaches"] = [
+        list(row) for row in breaches(world.log, world.jobs, world.teams, world.cancel_s, world.completed)
+    ]
     return {"experiment": experiment.name, "seed": seed, **made}
--- a/lab/plays.py
+++ b/lab/plays.py
@@ -30,8 +30,10 @@
     console = Console(stderr=True, quiet=quiet)
     results: dict[int, dict] = {}
     # spawned, and ended after one: a play patches the clock and replaces modules, and no other may see that
-    with ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool, \
-            Progress(console=console) as bar:
+    with (
+        ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool,
+        Progress(console=console) as bar,
+    ):
         task = bar.add_task("plays", total=len(plays))
         numbers = {pool.submit(one, *row): number for number, row in enumerate(plays)}
         for done in as_completed(numbers):
--- a/lab/report.py
+++ b/lab/report.py
@@ -109,9 +109,13 @@
         if used[0] + need[0] > limits[0] + 1e-6 or used[1] + need[1] > limits[1] + 1e-6:
             return "4 its limit"
         fitting: Counter = Counter()
-        begun = {worker.zone for worker in self.world.workers.values() if spec["samePlace"]
-                 for key, task in worker.tasks.items()
-                 if task.state != "ended" and key.partition("/")[0] == spec["id"]}
+        begun = {
+            worker.zone
+            for worker in self.world.workers.values()
+            if spec["samePlace"]
+            for key, task in worker.tasks.items()
+            if task.state != "ended" and key.partition("/")[0] == spec["id"]
+        }
         for free, zone, spot in room:
             if (spec["driftwood"] or not spot) and begun <= {zone}:
                 fitting[zone] += int(min((f + 1e-6) // n for n, f in zip(need, free, strict=True) if n > 0))
@@ -127,8 +131,9 @@
         shares = self.world.state.items.get(QUOTA + team["name"])
         if shares is not None and limits[0] < 1e18:
             left = limits[0] - sum(row[0] for row in shares[0].values())
-            if left + 1e-6 < need[0] and not any(self._spare(team["name"], zone, shares[0]) + left + 1e-6 >= need[0]
-                                                 for zone in zones):
+            if left + 1e-6 < need[0] and not any(
+                self._spare(team["name"], zone, shares[0]) + left + 1e-6 >= need[0] for zone in zones
+            ):
                 return "1 shares elsewhere"
         if self._recorded(team["name"]) + least * need[0] > limits[0] + 1e-6:
             return "2 ends that aren't recorded"
@@ -136,15 +141,22 @@
 
     def _recorded(self, team: str) -> float:
         """CPUs that a team's recorded claims take, as the controller with the newest reading knows them."""
-        newest = max((controller for controller in self.world.controllers.values() if controller is not None),
-                     key=lambda controller: controller.mirror._revision, default=None)
+        newest = max(
+            (controller for controller in self.world.controllers.values() if controller is not None),
+            key=lambda controller: controller.mirror._revision,
+            default=None,
+        )
         return newest.book.used(team)[0] if newest is not None else 0.0
 
     def _spare(self, team: str, zone: str, shares: dict) -> float:
         world = self.world
-        used = sum(world.jobs[key.partition("/")[0]]["vcpus"] for worker in world.workers.values()
-                   if worker.zone == zone for key, task in worker.tasks.items()
-                   if task.state != "ended" and world.jobs[key.partition("/")[0]]["crew"] == team)
+        used = sum(
+            world.jobs[key.partition("/")[0]]["vcpus"]
+            for worker in world.workers.values()
+            if worker.zone == zone
+            for key, task in worker.tasks.items()
+            if task.state != "ended" and world.jobs[key.partition("/")[0]]["crew"] == team
+        )
         return shares.get(zone, [0.0])[0] - used
 
 
@@ -172,8 +184,11 @@
     # what came in the last eighth, or later than it takes to run, says little about who is served
     asked = {row[3]: row[0] for row in world.log if row[1] == "asked" and row[2] == "submit"}
     begin = min(asked.values(), default=world.now)
-    jobs = [job for job, at in asked.items()
-            if at + 2.0 * world.jobs[job]["run_s"] < world.now - 0.125 * (world.now - begin)]
+    jobs = [
+        job
+        for job, at in asked.items()
+        if at + 2.0 * world.jobs[job]["run_s"] < world.now - 0.125 * (world.now - begin)
+    ]
     by_team, by_class = defaultdict(list), defaultdict(list)
     for job in jobs:
         by_team[world.jobs[job]["crew"]].append(job)
@@ -183,35 +198,55 @@
         row = sampler.teams[team["name"]]
         share = 1.0 / max(1, row.waiting)
         teams[team["name"]] = {
-            "served": _served(world, sampler, by_team[team["name"]]), "limit": team["cpus_max"],
-            "guaranteed": team["cpus"], "most": row.most, "overshoot": row.over, "waiting_s": row.waiting,
-            "had": row.had * share if row.waiting else None, "stranded": row.below * share,
-            "below_guarantee": row.owed * share, "to_limit_s": statistics.median(row.reached) if row.reached else None,
-            "kept_by": dict(row.kept_by)}
+            "served": _served(world, sampler, by_team[team["name"]]),
+            "limit": team["cpus_max"],
+            "guaranteed": team["cpus"],
+            "most": row.most,
+            "overshoot": row.over,
+            "waiting_s": row.waiting,
+            "had": row.had * share if row.waiting else None,
+            "stranded": row.below * share,
+            "below_guarantee": row.owed * share,
+            "to_limit_s": statistics.median(row.reached) if row.reached else None,
+            "kept_by": dict(row.kept_by),
+        }
     classes = {}
     for label, names in by_class.items():
         waits = sorted(sampler.first[job] - asked[job] for job in names if job in sampler.first)
         due = [job for job in names if world.jobs[job]["dueS"]]
-        met = [job for job in due if world.done_tasks.get(job, 0) == world.jobs[job]["pieces"]
-               and world.last_done[job] <= asked[job] + world.jobs[job]["dueS"]]
+        met = [
+            job
+            for job in due
+            if world.done_tasks.get(job, 0) == world.jobs[job]["pieces"]
+            and world.last_done[job] <= asked[job] + world.jobs[job]["dueS"]
+        ]
         classes[label] = {
-            "served": _served(world, sampler, names), "jobs": len(names), "started": len(waits),
+            "served": _served(world, sampler, names),
+            "jobs": len(names),
+            "started": len(waits),
             "wait_p50_s": waits[len(waits) // 2] if waits else None,
             "wait_p90_s": waits[int(0.9 * len(waits))] if waits else None,
-            "by_deadline": len(met) / len(due) if due else None, "stops": sum(world.stops[job] for job in names),
-            "lost_cpu_s": sum(world.lost[job] * world.jobs[job]["vcpus"] for job in names)}
+            "by_deadline": len(met) / len(due) if due else None,
+            "stops": sum(world.stops[job] for job in names),
+            "lost_cpu_s": sum(world.lost[job] * world.jobs[job]["vcpus"] for job in names),
+        }
     counts, starts = world.state.counts, sum(world.starts.values())
     return {
-        "teams": teams, "classes": classes,
-        "least_served_team": _least(teams), "least_served_class": _least(classes),
+        "teams": teams,
+        "classes": classes,
+        "least_served_team": _least(teams),
+        "least_served_class": _least(classes),
         "overshoot": max((row["overshoot"] for row in teams.values()), default=0.0),
         **{part: _mean(teams, part) for part in ("stranded", "below_guarantee", "had")},
         "kept_by": dict(sum((row.kept_by for row in sampler.teams.values()), Counter())),
-        "starts": starts, "stops": sum(world.stops.values()),
+        "starts": starts,
+        "stops": sum(world.stops.values()),
         "lost_cpu_s": sum(lost * world.jobs[job]["vcpus"] for job, lost in world.lost.items()),
-        "machine_s": sampler.machine_s, "state": dict(counts),
+        "machine_s": sampler.machine_s,
+        "state": dict(counts),
         "changes_per_start": counts["changes"] / max(1, starts),
-        "conflicts_per_start": counts["conflicts"] / max(1, starts)}
+        "conflicts_per_start": counts["conflicts"] / max(1, starts),
+    }
 
 
 def _mean(teams: dict[str, dict], part: str) -> float | None:
--- a/lab/search.py
+++ b/lab/search.py
@@ -27,13 +27,37 @@
 
 ZONES = ("north", "south", "west")
 TEAM = {"name": "team", "cpus": 24.0, "cpus_max": 40.0, "gpus": 0.0, "gpus_max": 0.0}
-BOX = {"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "localGb": 50.0, "fetchGbPerS": 1.0,
-       "price": 1.0, "spotPrice": 0.4, "startupS": 8.0, "harbors": list(ZONES)}
+BOX = {
+    "name": "box",
+    "vcpus": 8.0,
+    "accelerators": 0.0,
+    "memoryGb": 32.0,
+    "localGb": 50.0,
+    "fetchGbPerS": 1.0,
+    "price": 1.0,
+    "spotPrice": 0.4,
+    "startupS": 8.0,
+    "harbors": list(ZONES),
+}
 # report_s, lease_s, cancel_s: as they stand to each other where the service runs
 TIMES = ((1.0, 10.0, 35.0), (3.0, 14.0, 39.0), (2.5, 15.25, 40.25))
-JOB = {"tier": "c", "crew": "team", "rank": "standard", "vcpus": 2.0, "accelerators": 0.0, "memoryGb": 2.0,
-       "sizeGb": 1.0, "hulls": None, "harbor": None, "samePlace": False, "spread": False, "driftwood": True,
-       "markS": 0.0, "stowS": 0.0, "dueS": 120.0}
+JOB = {
+    "tier": "c",
+    "crew": "team",
+    "rank": "standard",
+    "vcpus": 2.0,
+    "accelerators": 0.0,
+    "memoryGb": 2.0,
+    "sizeGb": 1.0,
+    "hulls": None,
+    "harbor": None,
+    "samePlace": False,
+    "spread": False,
+    "driftwood": True,
+    "markS": 0.0,
+    "stowS": 0.0,
+    "dueS": 120.0,
+}
 CALM_S = 150.0
 
 Trouble = Callable[[World, random.Random], tuple[str, float]]  # whom it strikes, and for how long
@@ -74,8 +98,9 @@
 
 
 def _outage(world, chance):
-    seconds = chance.choice((2.0, 0.5 * world.lease_s, 2.0 * world.lease_s, world.cancel_s + 15.0,
-                             world.cancel_s + 30.0))
+    seconds = chance.choice(
+        (2.0, 0.5 * world.lease_s, 2.0 * world.lease_s, world.cancel_s + 15.0, world.cancel_s + 30.0)
+    )
     world.state.down(world.now + seconds)
     return "all", seconds
 
@@ -194,8 +219,10 @@
         else:
             world.mute[worker.name] = world.deaf[worker.name] = world.now + seconds
     # more work than the team's limit takes, so that what the cancelled tasks have of it is wanted at once
-    world.submit(f"req-more-{world.ticks}", **{**JOB, "shape": "sweep", "cargo": "img-0", "pieces": 24, "run_s": 10.0,
-                                               "reckonS": 10.0})
+    world.submit(
+        f"req-more-{world.ticks}",
+        **{**JOB, "shape": "sweep", "cargo": "img-0", "pieces": 24, "run_s": 10.0, "reckonS": 10.0},
+    )
     for name in sorted({key.partition("/")[0] for worker in there for key in worker.tasks} & world.polls.keys()):
         world.cancel(name)
     node, away = world.holder(zone), chance.choice((0.2, 3.0, world.lease_s))
@@ -238,33 +265,74 @@
 
 
 TROUBLES: dict[str, Trouble] = {
-    "crash": _crash, "crash of all": _crash_all, "refused": _refuse, "outage": _outage, "cut": _cut, "alone": _alone,
+    "crash": _crash,
+    "crash of all": _crash_all,
+    "refused": _refuse,
+    "outage": _outage,
+    "cut": _cut,
+    "alone": _alone,
     "zone cut": _zone,
-    "freeze": _freeze, "silence": _silence, "lost machines": _lose, "notice": _notice,
+    "freeze": _freeze,
+    "silence": _silence,
+    "lost machines": _lose,
+    "notice": _notice,
     "late reports": _share_of("late_reports", 10.0, 60.0, 30.0),
-    "late writes": _share_of("late_writes", 3.0, 20.0, 12.0), "slow state": _share_of("slow", 3.0, 20.0, 3.0),
+    "late writes": _share_of("late_writes", 3.0, 20.0, 12.0),
+    "slow state": _share_of("slow", 3.0, 20.0, 3.0),
     "held up": _share_of("held_up", 5.0, 30.0, 12.0),
     "lost answers": _share_of("lost_answers", 3.0, 20.0, 1.0),
     "copies for the next": _share_of("copies_for_next", 10.0, 40.0, 1.0),
     "cancelled at the end": _share_of("cancelled_at_end", 20.0, 60.0, 0.0),
-    "cancelled now": _cancel_now, "close looks": _looks, "odd requests": _odd,
-    "quick machines": _quick_machines, "cancelled out of reach": _cancelled_out_of_reach, "old session": _old_session,
-    "repeats": _repeats, "unread": _unread, "no cloud": _no_cloud}
+    "cancelled now": _cancel_now,
+    "close looks": _looks,
+    "odd requests": _odd,
+    "quick machines": _quick_machines,
+    "cancelled out of reach": _cancelled_out_of_reach,
+    "old session": _old_session,
+    "repeats": _repeats,
+    "unread": _unread,
+    "no cloud": _no_cloud,
+}
 
 
 # the meetings that the operators' page names; half of the worlds have one of these, the others what chance joins
-MEETINGS = (("refused", "outage"), ("unread", "outage"), ("alone", "outage"), ("slow state", "outage"),
-            ("crash of all", "late reports"), ("crash", "late writes"), ("late writes", "crash of all"),
-            ("held up", "crash"), ("silence", "late reports"), ("late reports", "refused"), ("silence", "crash"),
-            ("crash", "crash of all"), ("repeats", "alone"), ("alone", "held up"), ("slow state", "refused"),
-            ("zone cut", "late reports"), ("close looks", "lost answers"), ("close looks", "cancelled at the end"),
-            ("close looks", "cancelled now"), ("cancelled now", "crash"), ("cancelled now", "refused", "outage"),
-            ("cancelled now", "silence", "crash"), ("copies for the next", "crash"),
-            ("copies for the next", "crash of all"), ("lost answers", "crash"), ("lost answers", "late writes"),
-            ("late writes", "quick machines", "crash"), ("silence", "cancelled now"), ("crash", "crash", "crash"),
-            ("zone cut", "lost machines"), ("odd requests", "close looks"),
-            ("cancelled out of reach", "close looks"), ("cancelled out of reach", "late reports"),
-            ("old session", "crash"), ("old session", "late reports"))
+MEETINGS = (
+    ("refused", "outage"),
+    ("unread", "outage"),
+    ("alone", "outage"),
+    ("slow state", "outage"),
+    ("crash of all", "late reports"),
+    ("crash", "late writes"),
+    ("late writes", "crash of all"),
+    ("held up", "crash"),
+    ("silence", "late reports"),
+    ("late reports", "refused"),
+    ("silence", "crash"),
+    ("crash", "crash of all"),
+    ("repeats", "alone"),
+    ("alone", "held up"),
+    ("slow state", "refused"),
+    ("zone cut", "late reports"),
+    ("close looks", "lost answers"),
+    ("close looks", "cancelled at the end"),
+    ("close looks", "cancelled now"),
+    ("cancelled now", "crash"),
+    ("cancelled now", "refused", "outage"),
+    ("cancelled now", "silence", "crash"),
+    ("copies for the next", "crash"),
+    ("copies for the next", "crash of all"),
+    ("lost answers", "crash"),
+    ("lost answers", "late writes"),
+    ("late writes", "quick machines", "crash"),
+    ("silence", "cancelled now"),
+    ("crash", "crash", "crash"),
+    ("zone cut", "lost machines"),
+    ("odd requests", "close looks"),
+    ("cancelled out of reach", "close looks"),
+    ("cancelled out of reach", "late reports"),
+    ("old session", "crash"),
+    ("old session", "late reports"),
+)
 
 
 def _jobs(chance: random.Random) -> list[tuple[float, dict]]:
@@ -273,15 +341,26 @@
     times = sorted(chance.uniform(0.0, 45.0) for _ in range(chance.randint(1, 4)))
     for when in [0.0] * 4 + times:
         kind = chance.choice(("array", "array", "ends far apart", "gang", "service", "waits"))
-        job = {**JOB, "shape": "sweep", "cargo": f"img-{chance.randrange(3)}", "pieces": chance.randint(1, 6),
-               "run_s": chance.choice((4.0, 12.0, 40.0, 60.0))}
+        job = {
+            **JOB,
+            "shape": "sweep",
+            "cargo": f"img-{chance.randrange(3)}",
+            "pieces": chance.randint(1, 6),
+            "run_s": chance.choice((4.0, 12.0, 40.0, 60.0)),
+        }
         if kind == "ends far apart":
             job.update(pieces=chance.randint(2, 3), run_s=60.0)
         elif kind == "gang":
             job.update(shape="group", pieces=2, samePlace=chance.random() < 0.5, markS=5.0, stowS=2.0, driftwood=False)
         elif kind == "service":
-            job.update(shape="service", rank="critical", pieces=chance.randint(1, 3), driftwood=False, dueS=None,
-                       spread=chance.random() < 0.5)
+            job.update(
+                shape="service",
+                rank="critical",
+                pieces=chance.randint(1, 3),
+                driftwood=False,
+                dueS=None,
+                spread=chance.random() < 0.5,
+            )
         elif kind == "waits" and found:
             others = [name for name, before in enumerate(found) if before[1]["shape"] != "service"]
             job["awaits"] = [f"req-{name}" for name in others[-1:]]
@@ -295,8 +374,11 @@
 def _ends(name: str, jobs: dict) -> bool:
     """Whether a job can be done at all."""
     job = jobs[name]
-    return job["shape"] != "service" and "fails_s" not in job and all(_ends(other, jobs)
-                                                                     for other in job.get("awaits", ()))
+    return (
+        job["shape"] != "service"
+        and "fails_s" not in job
+        and all(_ends(other, jobs) for other in job.get("awaits", ()))
+    )
 
 
 def play(seed: int, meeting: tuple[str, ...] = ()) -> dict:
@@ -322,10 +404,17 @@
     kinds = list(chance.choice(MEETINGS) if chance.random() < 0.5 else chance.sample(sorted(TROUBLES), 2))
     kinds = list(meeting) or kinds
     kinds += chance.sample(sorted(TROUBLES), max(0, len(strikes) - len(kinds)))
-    strikes += [strikes[-1] + chance.uniform(0.05, 0.5) * lease_s for _ in kinds[len(strikes):]]
-    cancels = sorted((chance.uniform(strikes[0], strikes[1]) if chance.random() < 0.7 else
-                      chance.choice(strikes) + chance.uniform(-1.0, 1.0) * lease_s, name)
-                     for _, name, _ in jobs if chance.random() < 0.6)
+    strikes += [strikes[-1] + chance.uniform(0.05, 0.5) * lease_s for _ in kinds[len(strikes) :]]
+    cancels = sorted(
+        (
+            chance.uniform(strikes[0], strikes[1])
+            if chance.random() < 0.7
+            else chance.choice(strikes) + chance.uniform(-1.0, 1.0) * lease_s,
+            name,
+        )
+        for _, name, _ in jobs
+        if chance.random() < 0.6
+    )
     happened, over_at, beside = [], first, BesideRoom(world)
     with world.clock():
         while world.now < over_at + CALM_S or strikes:
@@ -349,9 +438,15 @@
     accepted = {row[3] for row in world.log if row[1] == "told" and row[4] in (200, 201)}
     ended = {name for name, (_, state) in world.answers.items() if state in ("done", "withdrawn")}
     unfinished = [name for name in sorted(accepted) if name not in ended and _ends(name, world.jobs)]
-    return {"seed": seed, "troubles": happened, "breaches": [list(row) for row in found], "unfinished": unfinished,
-            "asked": len(world.answers), "began": sum(world.starts.values()),
-            "late_starts": [list(row) for row in starts_after_cancellation(world.log)]}
+    return {
+        "seed": seed,
+        "troubles": happened,
+        "breaches": [list(row) for row in found],
+        "unfinished": unfinished,
+        "asked": len(world.answers),
+        "began": sum(world.starts.values()),
+        "late_starts": [list(row) for row in starts_after_cancellation(world.log)],
+    }
 
 
 # Planted faults, one for each family
@@ -395,8 +490,10 @@
 @_fault
 def lost_doubt():
     """Nobody remembers which starts may still be carried out."""
-    with mock.patch.object(Machine, "can_no_longer_start", lambda self, key: True), \
-            mock.patch.object(Machine, "may_be_cleared", lambda self, key: True):
+    with (
+        mock.patch.object(Machine, "can_no_longer_start", lambda self, key: True),
+        mock.patch.object(Machine, "may_be_cleared", lambda self, key: True),
+    ):
         yield
 
 
--- a/lab/state.py
+++ b/lab/state.py
@@ -75,17 +75,17 @@
             return 200, {}
         if path == "/changes":
             under, after = args["under"].replace("%2F", "/"), int(args["from"])
-            rows = self.changes[bisect_right(self.stamps, after):]
+            rows = self.changes[bisect_right(self.stamps, after) :]
             log = [row for row in rows if (row.get("put") or row["delete"]).startswith(under)]
             return 200, {"logline": self.revision, "log": log}
         if path == "/kv":
             under = args["under"].replace("%2F", "/")
             rows = [{"k": k, "v": v[0], "stamp": v[1]} for k, v in sorted(self.items.items()) if k.startswith(under)]
             return 200, {"rows": rows, "more": False, "logline": self.revision}
-        item = self.items.get(path[len("/kv/"):])
+        item = self.items.get(path[len("/kv/") :])
         if item is None:
             return 404, {"logline": self.revision}
-        return 200, {"k": path[len("/kv/"):], "v": item[0], "stamp": item[1]}
+        return 200, {"k": path[len("/kv/") :], "v": item[0], "stamp": item[1]}
 
     def too_many(self, changes):
         """Whether changes come faster than a second's burst and the rate allow."""
@@ -99,8 +99,11 @@
 
     def transact(self, body):
         sizes = [len(json.dumps(row.get("v"), separators=(",", ":"))) for row in body["writes"]]
-        if (len(body["writes"]) > self.limits["txn_ops"] or len(body["if"]) > 4 * self.limits["txn_ops"]
-                or max(sizes, default=0) > 1024 * self.limits["value_kb"]):
+        if (
+            len(body["writes"]) > self.limits["txn_ops"]
+            or len(body["if"]) > 4 * self.limits["txn_ops"]
+            or max(sizes, default=0) > 1024 * self.limits["value_kb"]
+        ):
             self.refused.append((self.world.now, len(body["writes"]), sizes))
             return 400, {"error": "too large"}
         if self.too_many(len(body["writes"])):
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -51,9 +51,16 @@
         controller = importlib.import_module("tidebend.service")
         storage = importlib.import_module("tidebend.storage")
         failures = (storage.Unavailable, storage.Unknown)
-    return Version(controller.Controller, parts["settings"].read_settings, parts["settings"].Knobs,
-                   parts["transport"].Unreachable, parts["transport"].NoAnswer,
-                   (*failures, parts["protocol"].Invalid), parts["transport"].Reply, driver)
+    return Version(
+        controller.Controller,
+        parts["settings"].read_settings,
+        parts["settings"].Knobs,
+        parts["transport"].Unreachable,
+        parts["transport"].NoAnswer,
+        (*failures, parts["protocol"].Invalid),
+        parts["transport"].Reply,
+        driver,
+    )
 
 
 def production() -> Version | None:
--- a/lab/workers.py
+++ b/lab/workers.py
@@ -47,8 +47,9 @@
 
     def ran(self, key, task):
         """Seconds of progress, what was saved before included."""
-        until = task.end_at - self.world.jobs[key.partition("/")[0]]["stowS"] if task.state == "saving" \
-            else self.world.now
+        until = (
+            task.end_at - self.world.jobs[key.partition("/")[0]]["stowS"] if task.state == "saving" else self.world.now
+        )
         return task.progress + max(0.0, until - task.since)
 
     def count_work(self, key, task):
@@ -58,8 +59,11 @@
         if key in self.world.completed or spec["shape"] == "service":
             return
         ran = self.ran(key, task)
-        safe = ran if task.state == "saving" and self.world.now >= task.end_at else (
-            ran // spec["markS"] * spec["markS"] if spec["markS"] > 0 else 0.0)
+        safe = (
+            ran
+            if task.state == "saving" and self.world.now >= task.end_at
+            else (ran // spec["markS"] * spec["markS"] if spec["markS"] > 0 else 0.0)
+        )
         progress = self.world.saved[key] = max(safe, self.world.saved.get(key, 0.0))
         self.world.lost[job] += max(0.0, ran - progress)
         self.world.stops[job] += 1
@@ -129,10 +133,18 @@
                 row["cause"] = task.why
                 row["stored"] = task.saved
             rows.append(row)
-        return {"vessel": self.name, "address": f"{self.address[0]}:{self.address[1]}", "hull": self.kind,
-                "harbor": self.zone, "driftwood": self.spot, "watch": self.session, "tally": self.sequence,
-                "helm": self.token, "warningS": None if self.notice is None else self.notice - self.world.now,
-                "pieces": rows}
+        return {
+            "vessel": self.name,
+            "address": f"{self.address[0]}:{self.address[1]}",
+            "hull": self.kind,
+            "harbor": self.zone,
+            "driftwood": self.spot,
+            "watch": self.session,
+            "tally": self.sequence,
+            "helm": self.token,
+            "warningS": None if self.notice is None else self.notice - self.world.now,
+            "pieces": rows,
+        }
 
     def report(self):
         now = self.world.now
--- a/lab/world.py
+++ b/lab/world.py
@@ -24,8 +24,22 @@
 
 
 class World:
-    def __init__(self, seed, zones, teams, types, lease_s=10.0, report_s=1.0, cancel_s=35.0, list_lag_s=3.0,
-                 controllers=None, limits=None, cloud_rps=5.0, objectives=None, polls=(2.0, 2.0)):
+    def __init__(
+        self,
+        seed,
+        zones,
+        teams,
+        types,
+        lease_s=10.0,
+        report_s=1.0,
+        cancel_s=35.0,
+        list_lag_s=3.0,
+        controllers=None,
+        limits=None,
+        cloud_rps=5.0,
+        objectives=None,
+        polls=(2.0, 2.0),
+    ):
         """`controllers`: how many, over the zones in turn (one in each); `limits`: of the state service, enforced;
         `polls`: seconds between a user's polls for a job before and after its end."""
         self.random = random.Random(seed)
@@ -43,8 +57,9 @@
         if limits:
             self.state.limits.update({key: self.limits[key] for key in self.state.limits})
         self.cloud_rps, self.poll_s = cloud_rps, polls
-        self.objectives = objectives or [{"kind": "deadline", "class": "c", "share": 0.9, "times": times}
-                                         for times in (1.5, 1.0)]
+        self.objectives = objectives or [
+            {"kind": "deadline", "class": "c", "share": 0.9, "times": times} for times in (1.5, 1.0)
+        ]
         self.frozen = {}  # controller -> until
         self.deaf = {}  # machine -> until: its reports arrive, answers and commands don't reach it
         self.mute = {}  # machine -> until: commands reach it and are answered, its reports don't arrive
@@ -89,25 +104,46 @@
     def settings(self, node):
         zone = self.zone_of(node)
         version = self.versions[node]
-        return version.settings({
-            "member": node, "site": zone, "serve_on": "0.0.0.0:1", "peer_bind": "0.0.0.0:2",
-            "peers": [{"member": other, "site": self.zone_of(other), "address": "0.0.0.0:3"}
-                      for other in self.nodes if other != node],
-            "outside": {"cloud": "cloud:1", "state": "state:1"},
-            "deployment": {"size": len(self.nodes), "zones": self.zones, "clock_off_ms": 0.0, "teams": self.teams,
-                           "workers": {"report_s": self.report_s, "lease_s": self.lease_s, "gang_wait_s": 30.0,
-                                       "gang_peer_s": 5.0, "cancel_s": self.cancel_s},
-                           "state": {**self.limits, "next": self.next_limits},
-                           "objectives": self.objectives,
-                           "cloud": {"rps": self.cloud_rps, "list_lag_s": self.list_lag_s},
-                           "resources": {"max_sockets": 600}},
-        }, version.knobs())
+        return version.settings(
+            {
+                "member": node,
+                "site": zone,
+                "serve_on": "0.0.0.0:1",
+                "peer_bind": "0.0.0.0:2",
+                "peers": [
+                    {"member": other, "site": self.zone_of(other), "address": "0.0.0.0:3"}
+                    for other in self.nodes
+                    if other != node
+                ],
+                "outside": {"cloud": "cloud:1", "state": "state:1"},
+                "deployment": {
+                    "size": len(self.nodes),
+                    "zones": self.zones,
+                    "clock_off_ms": 0.0,
+                    "teams": self.teams,
+                    "workers": {
+                        "report_s": self.report_s,
+                        "lease_s": self.lease_s,
+                        "gang_wait_s": 30.0,
+                        "gang_peer_s": 5.0,
+                        "cancel_s": self.cancel_s,
+                    },
+                    "state": {**self.limits, "next": self.next_limits},
+                    "objectives": self.objectives,
+                    "cloud": {"rps": self.cloud_rps, "list_lag_s": self.list_lag_s},
+                    "resources": {"max_sockets": 600},
+                },
+            },
+            version.knobs(),
+        )
 
     # Traffic
 
     def cut_between(self, node, side, zone=None):
-        return next((cut for cut in self.cuts if cut.node == node and self.now < cut.until
-                     and cut.side in ("all", side, zone)), None)
+        return next(
+            (cut for cut in self.cuts if cut.node == node and self.now < cut.until and cut.side in ("all", side, zone)),
+            None,
+        )
 
     def from_controller(self, node, version, address, method, path, body):
         if address == STATE:
@@ -142,8 +178,9 @@
         if answer is None:
             raise version.no_answer("hangs")
         if side == "workers" and method == "POST":  # carried out, and not kept back by a cut
-            self.again += [(self.now + late_s, worker.name, path, body)
-                           for until, late_s in self.repeats if self.now < until]
+            self.again += [
+                (self.now + late_s, worker.name, path, body) for until, late_s in self.repeats if self.now < until
+            ]
         return answer[0], json.loads(json.dumps(answer[1]))
 
     def before_state(self, node, version, method, path, body):
@@ -174,8 +211,11 @@
         """None: no answer."""
         controller = self.controllers.get(node)
         zone = self.workers[machine].zone if machine in self.workers else None
-        if (controller is None or self.now < self.frozen.get(node, -1.0)
-                or self.cut_between(node, "workers" if machine else "users", zone)):
+        if (
+            controller is None
+            or self.now < self.frozen.get(node, -1.0)
+            or self.cut_between(node, "workers" if machine else "users", zone)
+        ):
             return None
         if machine and self.now < self.mute.get(machine, -1.0):
             return None
@@ -201,8 +241,7 @@
     def copy(self, machine, node, report):
         for row in self.copies:
             if self.now < row.until and row.machine in (None, machine):
-                self.late += [(self.now + row.late_s, to, report)
-                              for to in (self.nodes if row.everywhere else [node])]
+                self.late += [(self.now + row.late_s, to, report) for to in (self.nodes if row.everywhere else [node])]
         if self.befalls(self.copies_for_next):
             self.kept.append(report)
         if self.befalls(self.late_reports):
@@ -248,8 +287,12 @@
         job = key.partition("/")[0]
         if self.jobs[job]["pieces"] == 1:
             return True
-        there = {other for worker in self.workers.values() for other, task in worker.tasks.items()
-                 if other.partition("/")[0] == job and task.attempt == attempt and task.state in ("waiting", "running")}
+        there = {
+            other
+            for worker in self.workers.values()
+            for other, task in worker.tasks.items()
+            if other.partition("/")[0] == job and task.attempt == attempt and task.state in ("waiting", "running")
+        }
         return len(there) == self.jobs[job]["pieces"]
 
     def room(self, worker, spec):
@@ -269,8 +312,13 @@
         began = len(self.log)  # what was answered before this stands in the log already
         if action == "submit":
             spec = body or self.jobs[name]
-            answer = self.to_controller(None, node, "POST", "/api/jobs",
-                                        {key: value for key, value in spec.items() if key not in ("run_s", "fails_s")})
+            answer = self.to_controller(
+                None,
+                node,
+                "POST",
+                "/api/jobs",
+                {key: value for key, value in spec.items() if key not in ("run_s", "fails_s")},
+            )
         elif action == "poll":
             answer = self.to_controller(None, node, "GET", f"/api/jobs/{name}", None)
         else:
@@ -341,12 +389,38 @@
         """Whether anything besides single machines isn't as it should be."""
         now = self.now
         return bool(
-            now < max([self.state.down_until, self.cloud.down_until, *self.state.refuses.values(),
-                       *self.frozen.values(), *self.deaf.values(), *self.mute.values(), *self.unread.values(),
-                       *(cut.until for cut in self.cuts),
-                       *(rows[0] for many in (self.late_reports, self.late_writes, self.lost_answers, self.held_up,
-                                              self.slow, self.repeats, self.copies_for_next) for rows in many)])
-            or self.under_way or self.again or self.late or self.later or None in self.controllers.values())
+            now
+            < max(
+                [
+                    self.state.down_until,
+                    self.cloud.down_until,
+                    *self.state.refuses.values(),
+                    *self.frozen.values(),
+                    *self.deaf.values(),
+                    *self.mute.values(),
+                    *self.unread.values(),
+                    *(cut.until for cut in self.cuts),
+                    *(
+                        rows[0]
+                        for many in (
+                            self.late_reports,
+                            self.late_writes,
+                            self.lost_answers,
+                            self.held_up,
+                            self.slow,
+                            self.repeats,
+                            self.copies_for_next,
+                        )
+                        for rows in many
+                    ),
+                ]
+            )
+            or self.under_way
+            or self.again
+            or self.late
+            or self.later
+            or None in self.controllers.values()
+        )
 
     def cancel(self, name):
         self.log.append((self.now, "asked", "cancel", name, None))
@@ -412,8 +486,13 @@
 
     def _tell_peers(self, node, frame):
         for peer, other in self.controllers.items():
-            if other is not None and peer != node and self.now >= self.frozen.get(peer, -1.0) \
-                    and not self.cut_between(node, "peers") and not self.cut_between(peer, "peers"):
+            if (
+                other is not None
+                and peer != node
+                and self.now >= self.frozen.get(peer, -1.0)
+                and not self.cut_between(node, "peers")
+                and not self.cut_between(peer, "peers")
+            ):
                 self.versions[peer].driver(other).receive_peer_frame(json.loads(json.dumps(frame)))
 
     def hang_watch(self, node):
@@ -455,5 +534,4 @@
 
     def clock(self):
         """Patches for the time module while the world runs."""
-        return mock.patch.multiple("time", monotonic=lambda: self.steady, time=lambda: 1e9 + self.now,
-                                   sleep=self.sleep)
+        return mock.patch.multiple("time", monotonic=lambda: self.steady, time=lambda: 1e9 + self.now, sleep=self.sleep)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -31,8 +31,10 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts) or "::" not in parts[0] or not parts[2].lstrip("#").isdigit():
-            raise ValueError(f"{path.name}:{number}: expected TEST | CAUSE | ISSUE, such as "
-                             "tests/test_x.py::test_y | what is at fault | 35")
+            raise ValueError(
+                f"{path.name}:{number}: expected TEST | CAUSE | ISSUE, such as "
+                "tests/test_x.py::test_y | what is at fault | 35"
+            )
         found.append(KnownRed(*parts))
     if len({row.test for row in found}) < len(found):
         raise ValueError(f"{path.name}: a test is listed twice")
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -124,8 +124,9 @@
         safe_place(text, tls=False)
 
 
-@pytest.mark.parametrize("text", ["127.0.0.1", ":80", "127.0.0.1:x", "127.0.0.1:70000", "0.0.0.0:1", "[::1]:80",
-                                  "1.2:80"])
+@pytest.mark.parametrize(
+    "text", ["127.0.0.1", ":80", "127.0.0.1:x", "127.0.0.1:70000", "0.0.0.0:1", "[::1]:80", "1.2:80"]
+)
 def test_what_is_no_address_is_told(text):
     with pytest.raises(ValueError):
         safe_place(text, tls=True)
@@ -142,6 +143,7 @@
         gates[name] = Gate(("127.0.0.1", 0), lambda *_: Reply(200, {}), ring, 20.0, 1.0, 40, shown.server())
         threading.Thread(target=gates[name].serve_forever, daemon=True).start()
     try:
+
         def ask(gate, key, trusted):
             address = gates[gate].server_address[:2]
             return KeyedClient(address, lambda: key, tls=trusted and trusted.client()).request("GET", "/x")[0]
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -31,8 +31,9 @@
         self.diary = Diary(directory)
         terms = TERMS if lease_s == 60.0 else Joined("vm-1", "here", 0.2, lease_s, 1.0, 1.0, 4.0, 0.0, 4.0, {})
         self.wanted = []
-        self.worker = Worker(directory, self.diary, terms, "127.0.0.1:1", "small", self.wanted.append,
-                             lambda: None, lambda: None)
+        self.worker = Worker(
+            directory, self.diary, terms, "127.0.0.1:1", "small", self.wanted.append, lambda: None, lambda: None
+        )
         # a disk that others keep busy takes seconds for a sync at times; nothing here is about how long that is
         self.worker.ask = functools.partial(self.worker.ask, timeout=30.0)
         self.thread = self.worker.start()
@@ -107,8 +108,13 @@
 
 
 def test_tasks_end_as_they_end(agent, tmp_path):
-    one = agent(**{"1": sh("echo $TIDEBEND_TASK of $TIDEBEND_TASKS; exit $TIDEBEND_TASK", tasks=2),
-                   "2": Description(["/no/such/program"]), "3": sh("true", directory="/no/such/place")})
+    one = agent(
+        **{
+            "1": sh("echo $TIDEBEND_TASK of $TIDEBEND_TASKS; exit $TIDEBEND_TASK", tasks=2),
+            "2": Description(["/no/such/program"]),
+            "3": sh("true", directory="/no/such/place"),
+        }
+    )
     one.start(0, 1)
     one.until_state(0, "ended", "done")
     one.until_state(1, "ended", "error")
@@ -184,11 +190,14 @@
     assert one.session == session + 1
 
 
-@pytest.mark.parametrize("text", [
-    "trap '' TERM; echo $$ >> LOG; while true; do sleep 0.1; done",
-    "echo $$ >> LOG; (echo $$; sleep NAP) & (setsid sh -c 'echo $$ >> LOG; sleep NAP' &) ; sleep NAP",
-    "echo $$ >> LOG; setsid setsid sh -c 'echo $$ >> LOG; env -i sleep NAP' & sleep NAP",
-])
+@pytest.mark.parametrize(
+    "text",
+    [
+        "trap '' TERM; echo $$ >> LOG; while true; do sleep 0.1; done",
+        "echo $$ >> LOG; (echo $$; sleep NAP) & (setsid sh -c 'echo $$ >> LOG; sleep NAP' &) ; sleep NAP",
+        "echo $$ >> LOG; setsid setsid sh -c 'echo $$ >> LOG; env -i sleep NAP' & sleep NAP",
+    ],
+)
 def test_whatever_a_task_does_when_told_to_stop_nothing_of_it_is_left(agent, tmp_path, text):
     log = tmp_path / "log"
     nap = f"60.{os.getpid()}"  # known again among all others of this machine
@@ -230,8 +239,12 @@
     for index in range(3):
         one.until_state(index, "running")
     time.sleep(0.2)
-    one.direct(Command("stop", JOB, 0, 1, 5.0), Command("stop", JOB, 1, 1, 5.0), Command("stop", JOB, 1, 1, 0.0),
-               Command("stop", JOB, 2, 1, 0.5))
+    one.direct(
+        Command("stop", JOB, 0, 1, 5.0),
+        Command("stop", JOB, 1, 1, 5.0),
+        Command("stop", JOB, 1, 1, 0.0),
+        Command("stop", JOB, 2, 1, 0.5),
+    )
     for index in range(3):
         one.until_state(index, "ended", "stopped")
     rows = {row["piece"]: row.get("stored") for row in one.worker.ask(one.worker.report)[0]["pieces"]}
@@ -284,10 +297,13 @@
 
 def test_bounds_are_kept_by_the_system(agent):
     grab = "import sys; b = bytearray(int(sys.argv[1]))"
-    one = agent(**{"1": Description([sys.executable, "-c", grab, str(10**9)], bounds=Bounds(memory_gb=0.3)),
-                   "2": Description([sys.executable, "-c", grab, "1000"], bounds=Bounds(memory_gb=0.3)),
-                   "3": sh("ulimit -n; exec dd if=/dev/zero of=big bs=1M count=3",
-                           bounds=Bounds(file_mb=2, open_files=64))})
+    one = agent(
+        **{
+            "1": Description([sys.executable, "-c", grab, str(10**9)], bounds=Bounds(memory_gb=0.3)),
+            "2": Description([sys.executable, "-c", grab, "1000"], bounds=Bounds(memory_gb=0.3)),
+            "3": sh("ulimit -n; exec dd if=/dev/zero of=big bs=1M count=3", bounds=Bounds(file_mb=2, open_files=64)),
+        }
+    )
     for index, job in enumerate(("req-1", "req-2", "req-3")):
         one.start(index, job=job)
     one.until_state(0, "ended", "error")
@@ -300,9 +316,14 @@
     log = tmp_path / "log"
     make = ["sh", "-c", f"echo $$ >> {log}; sleep 0.3; echo built > file"]
     use = sh("cat $TIDEBEND_IMAGE/file", image="img", prepare=make)
-    one = agent(**{"1": use, "2": sh("true", image="bad", prepare=["sh", "-c", "echo why; exit 3"]),
-                   "4": sh("true", image="gang", prepare=["sleep", "0.3"], kind="gang", tasks=2),
-                   "3": sh("true", image="slow", prepare=["sh", "-c", f"echo $$ >> {log}; sleep 69"])})
+    one = agent(
+        **{
+            "1": use,
+            "2": sh("true", image="bad", prepare=["sh", "-c", "echo why; exit 3"]),
+            "4": sh("true", image="gang", prepare=["sleep", "0.3"], kind="gang", tasks=2),
+            "3": sh("true", image="slow", prepare=["sh", "-c", f"echo $$ >> {log}; sleep 69"]),
+        }
+    )
     one.start(0, 1, 2)
     assert one.states() == {str(index): ("fetching", None) for index in range(3)}
     for index in range(3):
@@ -326,12 +347,21 @@
 
 
 def test_gang_tasks_start_and_end_together(agent):
-    one = agent(**{"1": sh("sleep 0.$((TIDEBEND_TASK + 1)); exit 0", kind="gang", tasks=2),
-                   "2": sh("sleep 60", kind="gang", tasks=2)})
+    one = agent(
+        **{
+            "1": sh("sleep 0.$((TIDEBEND_TASK + 1)); exit 0", kind="gang", tasks=2),
+            "2": sh("sleep 60", kind="gang", tasks=2),
+        }
+    )
     one.start(0, 1)
     assert {state for state, _ in one.states().values()} == {"waiting"}
-    tell = lambda verdict: [one.worker.ask(lambda task=task: one.worker.mustered(task, Mustered(verdict)))  # noqa: E731
-                            for task, _ in one.worker.ask(one.worker.gathering)]
+
+    def tell(verdict):
+        return [
+            one.worker.ask(lambda task=task: one.worker.mustered(task, Mustered(verdict)))
+            for task, _ in one.worker.ask(one.worker.gathering)
+        ]
+
     tell("start")
     one.until(lambda: [phase for _, phase in one.worker.ask(one.worker.gathering)] == ["finished"] * 2)
     assert {state for state, _ in one.states().values()} == {"running"}  # until all are known to be through
@@ -349,10 +379,12 @@
 
 def test_an_agent_that_returns_ends_what_it_had_begun(agent, tmp_path):
     directory, log = tmp_path / "agent", tmp_path / "log"
-    script = (f"import sys, time; sys.path.insert(0, {str(Path.cwd())!r}); from pathlib import Path\n"
-              "from tests.test_agent import Agent, sh, Command\n"
-              f"one = Agent(Path({str(directory)!r}), **{{'1': sh('echo $$ >> {log}; sleep 66')}})\n"
-              "one.start(0, 1, 2)\nprint('up', flush=True)\ntime.sleep(60)")
+    script = (
+        f"import sys, time; sys.path.insert(0, {str(Path.cwd())!r}); from pathlib import Path\n"
+        "from tests.test_agent import Agent, sh, Command\n"
+        f"one = Agent(Path({str(directory)!r}), **{{'1': sh('echo $$ >> {log}; sleep 66')}})\n"
+        "one.start(0, 1, 2)\nprint('up', flush=True)\ntime.sleep(60)"
+    )
     before = subprocess.Popen([sys.executable, "-c", script], stdout=subprocess.PIPE)
     before.stdout.readline()
     deadline = time.monotonic() + 10.0
@@ -369,12 +401,15 @@
 @pytest.mark.parametrize("fault", ["agent.written-down", "agent.begun", "agent.identified"])
 def test_killed_at_each_step_of_a_start_nothing_runs_unknown(agent, tmp_path, fault):
     directory, log = tmp_path / "agent", tmp_path / "log"
-    script = (f"import sys, time; sys.path.insert(0, {str(Path.cwd())!r}); from pathlib import Path\n"
-              "from tests.test_agent import Agent, sh\n"
-              f"one = Agent(Path({str(directory)!r}), **{{'1': sh('echo $$ >> {log}; sleep 67')}})\n"
-              "one.start(0, 1)")
-    done = subprocess.run([sys.executable, "-c", script], env={**os.environ, "TIDEBEND_FAULT": fault},
-                          stderr=subprocess.DEVNULL)
+    script = (
+        f"import sys, time; sys.path.insert(0, {str(Path.cwd())!r}); from pathlib import Path\n"
+        "from tests.test_agent import Agent, sh\n"
+        f"one = Agent(Path({str(directory)!r}), **{{'1': sh('echo $$ >> {log}; sleep 67')}})\n"
+        "one.start(0, 1)"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", script], env={**os.environ, "TIDEBEND_FAULT": fault}, stderr=subprocess.DEVNULL
+    )
     assert done.returncode == -signal.SIGKILL
     time.sleep(0.2)
     assert pids(log) == []  # none of them had the word to go on
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -15,8 +15,13 @@
 from tidebend.kvclient import Mirror
 
 ACTIONS = ("submit", "poll", "cancel")
-ODD = {"lacks a field": {"vcpus": None}, "fits no machine": {"vcpus": 900.0}, "no such team": {"crew": "nobody"},
-       "beyond the limit": {"shape": "group", "pieces": 5000}, "no such shape": {"shape": "heap"}}
+ODD = {
+    "lacks a field": {"vcpus": None},
+    "fits no machine": {"vcpus": 900.0},
+    "no such team": {"crew": "nobody"},
+    "beyond the limit": {"shape": "group", "pieces": 5000},
+    "no such shape": {"shape": "heap"},
+}
 
 
 def small(seed, teams=TEAMS, prepare=lambda world: None, **named):
@@ -48,8 +53,9 @@
     """Each action at one controller, each at another while the first one's n-th request to the state is under way, and
     questions to all afterwards."""
     number = 0
-    for first, second, known, when, carried in itertools.product(ACTIONS, ACTIONS, (False, True), range(3),
-                                                                 (False, True)):
+    for first, second, known, when, carried in itertools.product(
+        ACTIONS, ACTIONS, (False, True), range(3), (False, True)
+    ):
         name, left, number = f"req-{number}", [when], number + 1
         if known:
             ask(world, "submit", name, "n2")
@@ -94,13 +100,22 @@
         asking = []
 
         def meanwhile(*_, world=world, asking=asking, chance=chance):
-            ending = [name for name in world.jobs if world.done_tasks.get(name) == world.jobs[name]["pieces"]
-                      and world.now - world.last_done[name] < 2.5 and name in world.polls]
+            ending = [
+                name
+                for name in world.jobs
+                if world.done_tasks.get(name) == world.jobs[name]["pieces"]
+                and world.now - world.last_done[name] < 2.5
+                and name in world.polls
+            ]
             if asking or not ending or chance.random() < 0.7:
                 return
             asking.append(True)
-            ask(world, chance.choice(("poll", "submit", "poll", "cancel")), chance.choice(ending),
-                chance.choice(world.nodes))
+            ask(
+                world,
+                chance.choice(("poll", "submit", "poll", "cancel")),
+                chance.choice(ending),
+                chance.choice(world.nodes),
+            )
             asking.clear()
 
         world.meanwhile = meanwhile
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -6,8 +6,11 @@
 from tests.test_scenarios import JOB
 
 TEAMS = [{"name": "team", "cpus_max": 10.0}]
-JOBS = {"req-a": {"id": "req-a", **JOB, "pieces": 4, "driftwood": False, "spread": True},
-        "req-c": {"id": "req-c", **JOB, "awaits": ["req-a"]}, "req-d": {"id": "req-d", **JOB, "awaits": ["req-c"]}}
+JOBS = {
+    "req-a": {"id": "req-a", **JOB, "pieces": 4, "driftwood": False, "spread": True},
+    "req-c": {"id": "req-c", **JOB, "awaits": ["req-a"]},
+    "req-d": {"id": "req-d", **JOB, "awaits": ["req-c"]},
+}
 ASKED = (0.0, "asked", "submit", "req-a", {})
 TAKEN = (0.1, "told", "submit", "req-a", 201, "queued")
 
@@ -20,16 +23,33 @@
     "ran_twice": [ASKED, TAKEN, on(1.0, 0), on(2.0, 0, "m2")],
     "quota": [ASKED, TAKEN, on(1.0, 0), on(1.0, 1), on(1.0, 2, "m3", "south")],
     "wrong_place": [ASKED, TAKEN, on(1.0, 0, spot=True)],
-    "ran_cancelled": [ASKED, TAKEN, on(1.0, 0), (2.0, "asked", "cancel", "req-a", None),
-                      (2.1, "told", "cancel", "req-a", 200, "withdrawn"), (40.0, "told", "poll", "req-b", 404, None)],
+    "ran_cancelled": [
+        ASKED,
+        TAKEN,
+        on(1.0, 0),
+        (2.0, "asked", "cancel", "req-a", None),
+        (2.1, "told", "cancel", "req-a", 200, "withdrawn"),
+        (40.0, "told", "poll", "req-b", 404, None),
+    ],
     "forgotten": [ASKED, TAKEN, on(1.0, 0), (2.0, "told", "poll", "req-a", 404, None)],
     "invented": [ASKED, TAKEN, on(1.0, 0), (2.0, "told", "poll", "req-b", 200, "queued")],
     "not_done": [ASKED, TAKEN, on(1.0, 0), (2.0, "told", "poll", "req-a", 200, "done")],
-    "went_back": [ASKED, TAKEN, on(1.0, 0), (2.0, "asked", "cancel", "req-a", None),
-                  (2.1, "told", "cancel", "req-a", 200, "withdrawn"), (3.0, "told", "poll", "req-a", 200, "running")],
+    "went_back": [
+        ASKED,
+        TAKEN,
+        on(1.0, 0),
+        (2.0, "asked", "cancel", "req-a", None),
+        (2.1, "told", "cancel", "req-a", 200, "withdrawn"),
+        (3.0, "told", "poll", "req-a", 200, "running"),
+    ],
     "too_early": [ASKED, TAKEN, (2.0, "on", "req-c/0", 1, "m1", "north", "box", False)],
-    "orphaned": [ASKED, TAKEN, (1.0, "asked", "cancel", "req-a", None),
-                 (1.1, "told", "cancel", "req-a", 200, "withdrawn"), (37.0, "told", "poll", "req-d", 200, "queued")],
+    "orphaned": [
+        ASKED,
+        TAKEN,
+        (1.0, "asked", "cancel", "req-a", None),
+        (1.1, "told", "cancel", "req-a", 200, "withdrawn"),
+        (37.0, "told", "poll", "req-d", 200, "queued"),
+    ],
     "nothing_ran": [ASKED, TAKEN],
 }
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -41,8 +41,18 @@
         after = path.partition("from=")[2].partition("&")[0]
         left = [name for name in names if name > after]
         log.append(len(left))
-        rows = [{"id": name, "address": None, "hull": "box", "harbor": "north", "driftwood": False, "tide": "starting",
-                 "heldS": 1.0} for name in left[:PAGE]]
+        rows = [
+            {
+                "id": name,
+                "address": None,
+                "hull": "box",
+                "harbor": "north",
+                "driftwood": False,
+                "tide": "starting",
+                "heldS": 1.0,
+            }
+            for name in left[:PAGE]
+        ]
         return 200, {"fleet": rows, "more": len(left) > PAGE}
 
     return call
@@ -103,6 +113,7 @@
 
 def test_more_workers_than_connections_all_get_their_turn_and_users_keep_theirs():
     """Whoever had come first kept its connection, and the others lost their leases."""
+
     def route(method, path, body):
         return Reply(200, {"path": path}, yields=path == "/worker")
 
@@ -131,8 +142,12 @@
 @pytest.mark.parametrize("most", [16, 600, 1015, 2044, 9000])
 def test_sockets_are_shared_out_by_the_settings(world, most):
     settings = replace(world.controllers["n0"].settings, max_sockets=most)
-    ours = (connection_limits.kept(settings) + connection_limits.asking(settings) + connection_limits.backlog(settings)
-            + 4 * len(settings.peers))
+    ours = (
+        connection_limits.kept(settings)
+        + connection_limits.asking(settings)
+        + connection_limits.backlog(settings)
+        + 4 * len(settings.peers)
+    )
     assert connection_limits.incoming(settings) + connection_limits.asking(settings) <= 2000
     assert connection_limits.incoming(settings) >= most // 2 or connection_limits.incoming(settings) > 1700
     if most >= 600:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -25,8 +25,20 @@
 from tidebend.scheduling import Place, Placement, Timeline, Want, own_demand, value_of
 from tidebend.transport import NoAnswer
 
-TYPES = [{"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "localGb": 50.0, "fetchGbPerS": 1.0,
-          "price": 1.0, "spotPrice": 0.4, "startupS": 10.0, "harbors": ["north", "south"]}]
+TYPES = [
+    {
+        "name": "box",
+        "vcpus": 8.0,
+        "accelerators": 0.0,
+        "memoryGb": 32.0,
+        "localGb": 50.0,
+        "fetchGbPerS": 1.0,
+        "price": 1.0,
+        "spotPrice": 0.4,
+        "startupS": 10.0,
+        "harbors": ["north", "south"],
+    }
+]
 TEAMS = [{"name": "team", "cpus": 8.0, "cpus_max": 8.0, "gpus": 0.0, "gpus_max": 0.0}]
 
 
@@ -75,10 +87,12 @@
 def claim(controller, name, machine, tasks, conditions=None):
     def edit(job, usage):
         free = job.pending & tasks
-        if not free or not controller.settings.teams["team"].allows(*[
-                getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]):
+        if not free or not controller.settings.teams["team"].allows(
+            *[getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
+        ):
             return None
         return job.with_claims([Claim(machine, 1, job.started + 1, free, 0.0, "north")])
+
     return controller.ledger.change(name, edit, conditions or {})
 
 
@@ -159,9 +173,11 @@
 
 # What a worker is told
 
+
 def machine_with(**fields):
-    return replace(Machine("vm-000000", "box", "north", False), session=2, sequence=7, report_sequence=7, token=5,
-                   **fields)
+    return replace(
+        Machine("vm-000000", "box", "north", False), session=2, sequence=7, report_sequence=7, token=5, **fields
+    )
 
 
 def held(session=2, **changes):
@@ -236,6 +252,7 @@
 
 # Records at size
 
+
 def test_a_record_of_hundreds_of_machines_fits_one_value():
     claims = tuple(Claim(f"vm-{n:06d}", 1, 1 + n // 40, 0b1111 << 4 * n, 1e9 + n // 40, "palermo") for n in range(150))
     job = Job("req-a", 1, spec(pieces=600), 0.0, claims=claims, started=4)
@@ -248,8 +265,10 @@
     first, second = stale_pair(world, a=spec(pieces=100_000, vcpus=0.0, memoryGb=0.0))
     first.sizes.value_bytes, first.sizes.most_writes = 600, 4
     largest, whole = [], world.state.transact
-    world.state.transact = lambda body: (largest.append((len(body["writes"]), max(
-        packed_bytes(row.get("v")) for row in body["writes"]))), whole(body))[1]
+    world.state.transact = lambda body: (
+        largest.append((len(body["writes"]), max(packed_bytes(row.get("v")) for row in body["writes"]))),
+        whole(body),
+    )[1]
     now = time.monotonic()
     places = first.planner.places.all(now, time.time())
     group = [Placement("a", name, 40, now, now + 1, True) for name in places]
@@ -306,6 +325,7 @@
 
 # A team's record counts claims, the jobs' records count ends
 
+
 def test_usage_is_what_the_claims_take_through_claims_ends_and_the_end_of_a_job(old_world):
     first, second = stale_pair(old_world, a=spec(pieces=2), b=spec(pieces=2))
     assert claim(first, "a", "vm-000000", 3) is not None
@@ -334,6 +354,7 @@
 
 # Shares: a team's limit in each zone
 
+
 def shared(world, **limit):
     """Two controllers that hold a zone each, and a team with that limit in shares, all of it free."""
     pair = stale_pair(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
@@ -365,6 +386,7 @@
         if not controller.settings.teams["team"].allows(usage.plus(job.spec, wanted.bit_count()).cpus, 0.0):
             return None
         return job.with_claims([Claim(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
+
     return controller.ledger.change(name, edit, dict([controller.coordinator.condition(grant)]))
 
 
@@ -453,8 +475,9 @@
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None).rentals
     box = leader.types["box"]
     scarce, plenty = Offer(box, "north", True), Offer(box, "north", False)
-    monkeypatch.setattr("tidebend.controller.autoscaling.rentals.to_rent",
-                        lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)])
+    monkeypatch.setattr(
+        "tidebend.controller.autoscaling.rentals.to_rent", lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)]
+    )
     asked = []
     leader._order = lambda term, offer, machines: asked.append(offer)
     leader._refused(scarce, time.monotonic())
@@ -481,8 +504,10 @@
 def test_no_room_is_made_where_the_work_would_not_be_placed(world):
     """A replica that keeps off GPUs gets no room on a machine that has some, however little a stop there loses."""
     planner = world.controllers["n0"].planner
-    kinds = [MachineType(name, 8.0, gpus, 32.0, 50.0, 1.0, 1.0, 0.4, 10.0, ("north",)) for name, gpus in
-             (("plain", 0.0), ("accelerated", 2.0))]
+    kinds = [
+        MachineType(name, 8.0, gpus, 32.0, 50.0, 1.0, 1.0, 0.4, 10.0, ("north",))
+        for name, gpus in (("plain", 0.0), ("accelerated", 2.0))
+    ]
     rows = []
     for kind, lost in zip(kinds, (50.0, 0.0), strict=True):
         victim = (lost, ("req-v", 0, 1), 0.0, (8.0, 0.0, 1.0), 1)
@@ -514,9 +539,11 @@
     """Its start may be carried out again: once the attempt is forgotten it would run beside what took its place."""
     machine = Machine("m", "box", "north", False, session=1, token=5)
     machine.direct = {("a", 0, 1): 5, ("a", 1, 1): 4, ("a", 2, 1): 5}
-    machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False),
-                     ("a", 1, 1): TaskReport("a", 1, 1, "ended", "stopped", False),
-                     ("a", 2, 1): TaskReport("a", 2, 1, "ended", "done", False)}  # would only end again
+    machine.tasks = {
+        ("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False),
+        ("a", 1, 1): TaskReport("a", 1, 1, "ended", "stopped", False),
+        ("a", 2, 1): TaskReport("a", 2, 1, "ended", "done", False),
+    }  # would only end again
     assert {(c.op, c.index) for c in orders(machine, [], 5, True)} == {("forget", 1), ("forget", 2)}
     assert machine.kept_since is not None
     machine.token = 6
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -57,12 +57,17 @@
 def end_one_after_the_other(world, seconds):
     """Who takes the blocks over ends too, a moment before it gives up the machines that it never heard."""
     for number in range(3):
-        world.later.append((world.now + 0.5 + number * 0.85 * world.lease_s,
-                            lambda: world.crash(world.holder("west"), 0.3 * world.lease_s)))
+        world.later.append(
+            (
+                world.now + 0.5 + number * 0.85 * world.lease_s,
+                lambda: world.crash(world.holder("west"), 0.3 * world.lease_s),
+            )
+        )
 
 
-STRIKES = {strike.__name__: strike for strike in (outage, refused, refused_then_outage, alone, ends,
-                                                  end_one_after_the_other)}
+STRIKES = {
+    strike.__name__: strike for strike in (outage, refused, refused_then_outage, alone, ends, end_one_after_the_other)
+}
 
 
 def cancelled_and_hanging(row, share, strike, seed=1):
@@ -113,8 +118,10 @@
         assert hung and set(asked) >= hung and len(asked) <= 2 * len(set(asked))
 
 
-TWO = [{"name": "team", "cpus": 8.0, "cpus_max": 12.0, "gpus": 0.0, "gpus_max": 0.0},
-       {"name": "other", "cpus": 4.0, "cpus_max": 8.0, "gpus": 0.0, "gpus_max": 0.0}]
+TWO = [
+    {"name": "team", "cpus": 8.0, "cpus_max": 12.0, "gpus": 0.0, "gpus_max": 0.0},
+    {"name": "other", "cpus": 4.0, "cpus_max": 8.0, "gpus": 0.0, "gpus_max": 0.0},
+]
 
 
 @pytest.mark.parametrize("strike", ["refused", "alone", "ends", "end_one_after_the_other", "outage"])
@@ -125,13 +132,21 @@
         for number in range(4):
             world.submit(f"req-{number}", **{**JOB, **LONG, "crew": ("team", "other")[number % 2], "pieces": 6})
         for number in range(4, 10):
-            world.submit(f"req-{number}", **{**JOB, "crew": ("team", "other")[number % 2], "pieces": 3, "vcpus": 2.0,
-                                             "run_s": 8.0})
+            world.submit(
+                f"req-{number}",
+                **{**JOB, "crew": ("team", "other")[number % 2], "pieces": 3, "vcpus": 2.0, "run_s": 8.0},
+            )
         beside = BesideRoom(world)
         run(world, 20.0)
-        used = {team["name"]: sum(task.state == "running" and world.jobs[key.partition("/")[0]]["vcpus"]
-                                  for worker in world.workers.values() for key, task in worker.tasks.items()
-                                  if world.jobs[key.partition("/")[0]]["crew"] == team["name"]) for team in TWO}
+        used = {
+            team["name"]: sum(
+                task.state == "running" and world.jobs[key.partition("/")[0]]["vcpus"]
+                for worker in world.workers.values()
+                for key, task in worker.tasks.items()
+                if world.jobs[key.partition("/")[0]]["crew"] == team["name"]
+            )
+            for team in TWO
+        }
         assert used == {"team": 12.0, "other": 8.0}
         seconds = 1.3 * world.lease_s
         there = [worker for worker in world.workers.values() if worker.zone == "west"]
@@ -177,8 +192,12 @@
         run(world, 18.0, each=cancel)
         run(world, 110.0, beside)
         assert not judged(world, beside)
-        left = {key.partition("/")[0] for worker in world.workers.values() for key, task in worker.tasks.items()
-                if task.state != "ended"}
+        left = {
+            key.partition("/")[0]
+            for worker in world.workers.values()
+            for key, task in worker.tasks.items()
+            if task.state != "ended"
+        }
         assert not [name for name in left if world.answers[name][1] == "withdrawn"]
 
 
@@ -258,10 +277,12 @@
 @pytest.mark.parametrize("lost", ["machines", "zone", "zone and leader"])
 def test_jobs_bound_to_one_zone_wait_for_it_and_run_again_there(lost):
     for world in small(5):
-        bound = {"req-a": {"pieces": 6, "run_s": 30.0, "vcpus": 1.0, "harbor": "south"},
-                 "req-s": {"pieces": 4, "run_s": 30.0, "vcpus": 1.0, "samePlace": True},
-                 "req-g": {**GANG, "run_s": 30.0, "samePlace": True, "harbor": "south"},
-                 "req-v": {**SERVICE, "harbor": "south"}}
+        bound = {
+            "req-a": {"pieces": 6, "run_s": 30.0, "vcpus": 1.0, "harbor": "south"},
+            "req-s": {"pieces": 4, "run_s": 30.0, "vcpus": 1.0, "samePlace": True},
+            "req-g": {**GANG, "run_s": 30.0, "samePlace": True, "harbor": "south"},
+            "req-v": {**SERVICE, "harbor": "south"},
+        }
         for name, spec in bound.items():
             world.submit(name, **{**JOB, **spec})
         beside = BesideRoom(world)
@@ -283,8 +304,10 @@
     """Polls are answered throughout, and all of it is done in the end."""
     for world in small(6):
         for number in range(20):
-            world.submit(f"req-{number}", **{**JOB, "rank": ("standard", "urgent", "best_effort")[number % 3],
-                                             "pieces": 6, "run_s": 8.0})
+            world.submit(
+                f"req-{number}",
+                **{**JOB, "rank": ("standard", "urgent", "best_effort")[number % 3], "pieces": 6, "run_s": 8.0},
+            )
         for number in range(3):
             world.submit(f"req-v{number}", **{**JOB, **SERVICE, "rank": "critical"})
         world.slow.append((world.now + 60.0, 0.3))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,8 +25,22 @@
     def run(known, *words):
         if known is not None:
             (tmp_path / "KNOWN-RED.txt").write_text(known)
-        done = subprocess.run([sys.executable, "-m", "pytest", "-p", "no:cacheprovider", f"--rootdir={tmp_path}", "-q",
-                               *(words or ["tests"])], cwd=tmp_path, capture_output=True, text=True, timeout=50)
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "pytest",
+                "-p",
+                "no:cacheprovider",
+                f"--rootdir={tmp_path}",
+                "-q",
+                *(words or ["tests"]),
+            ],
+            cwd=tmp_path,
+            capture_output=True,
+            text=True,
+            timeout=50,
+        )
         return done.returncode, done.stdout + done.stderr
 
     return run
@@ -48,13 +62,19 @@
     assert run(FAILS + "tests/test_it.py::test_passes | nothing | 35\n")[0] == 1
 
 
-@pytest.mark.parametrize(("known", "told"), [
-    ("tests/test_it.py::test_fails | no issue\n", "KNOWN-RED.txt:1: expected TEST | CAUSE | ISSUE"),
-    ("tests/test_it.py::test_fails |  | 35\n", "KNOWN-RED.txt:1"), ("test_fails | cause | 35\n", "KNOWN-RED.txt:1"),
-    ("tests/test_it.py::test_fails | cause | soon\n", "KNOWN-RED.txt:1"), (FAILS + FAILS, "listed twice"),
-    (FAILS + "tests/test_it.py::test_none | x | 35\n", "no such test: tests/test_it.py::test_none"),
-    (FAILS + "tests/test_gone.py::test_none | x | 35\n", "no such test: tests/test_gone.py::test_none"),
-    ("".join(f"tests/test_it.py::test_{n} | x | 1\n" for n in range(4)), "4 tests, 3 at the most")])
+@pytest.mark.parametrize(
+    ("known", "told"),
+    [
+        ("tests/test_it.py::test_fails | no issue\n", "KNOWN-RED.txt:1: expected TEST | CAUSE | ISSUE"),
+        ("tests/test_it.py::test_fails |  | 35\n", "KNOWN-RED.txt:1"),
+        ("test_fails | cause | 35\n", "KNOWN-RED.txt:1"),
+        ("tests/test_it.py::test_fails | cause | soon\n", "KNOWN-RED.txt:1"),
+        (FAILS + FAILS, "listed twice"),
+        (FAILS + "tests/test_it.py::test_none | x | 35\n", "no such test: tests/test_it.py::test_none"),
+        (FAILS + "tests/test_gone.py::test_none | x | 35\n", "no such test: tests/test_gone.py::test_none"),
+        ("".join(f"tests/test_it.py::test_{n} | x | 1\n" for n in range(4)), "4 tests, 3 at the most"),
+    ],
+)
 def test_a_list_that_cannot_be_fails_the_run_and_says_why(run, known, told):
     status, text = run(known)
     assert status not in (0, 5) and told in text
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -78,13 +78,20 @@
     assert first["state"]["changes"] > 0
 
 
-@pytest.mark.parametrize("right, wrong, expected", [
-    ("boot_s = 5", "boot_s = -5", "boot_s"), ('teams = ["small"]', 'teams = ["big"]', "no team 'big'; expected one of"),
-    ("  cpus = 2", "  cpus = 9", "fit on no type of machine"), ('what = "freeze"', 'what = "fire"', "Invalid enum"),
-    ("node = 1", "node = 7", "expected -1 to 3"), ("zones = 2", "zones = = 2", "not HCL")])
+@pytest.mark.parametrize(
+    "right, wrong, expected",
+    [
+        ("boot_s = 5", "boot_s = -5", "boot_s"),
+        ('teams = ["small"]', 'teams = ["big"]', "no team 'big'; expected one of"),
+        ("  cpus = 2", "  cpus = 9", "fit on no type of machine"),
+        ('what = "freeze"', 'what = "fire"', "Invalid enum"),
+        ("node = 1", "node = 7", "expected -1 to 3"),
+        ("zones = 2", "zones = = 2", "not HCL"),
+    ],
+)
 def test_a_wrong_experiment_is_refused_with_line_and_field(small, right, wrong, expected):
     small.write_text(SMALL.replace(right, wrong))
-    line = SMALL[:SMALL.index(right)].count("\n") + 1
+    line = SMALL[: SMALL.index(right)].count("\n") + 1
     with pytest.raises(BadFile, match=expected) as refused:
         read(str(small))
     assert f"small.hcl:{line}:" in str(refused.value)
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -27,8 +27,15 @@
 
 def _ask(loopback, kind, tasks, cancel_at=None, seconds="0.3", machines=()):
     script = TASK.replace("{seconds}", seconds).replace("{trap}", "").replace("{child}", "")
-    block = JobBlock(command=["sh", "-c", script], kind=kind, tasks=tasks, cpus=0.5, estimate_s=1.0,
-                     environment={"E": str(loopback.evidence)}, machines=list(machines))
+    block = JobBlock(
+        command=["sh", "-c", script],
+        kind=kind,
+        tasks=tasks,
+        cpus=0.5,
+        estimate_s=1.0,
+        environment={"E": str(loopback.evidence)},
+        machines=list(machines),
+    )
     name = new_id(kind)
     loopback.asked[name] = Asked(Ready(name, kind, block.spec(kind), block.description(), ()), cancel_at=cancel_at)
 
@@ -84,11 +91,14 @@
         # an order of now, which it will read when it goes on: by then it is an old one
         key = Keyring(loopback.data / "keys.json").shown()
         host, _, port = far["address"].rpartition(":")
-        body = json.dumps({"helm": 10**9, "watch": far["session"],
-                           "orders": [{"order": "start", "piece": f"{name}/0", "launch": 99}]})
+        body = json.dumps(
+            {"helm": 10**9, "watch": far["session"], "orders": [{"order": "start", "piece": f"{name}/0", "launch": 99}]}
+        )
         late = socket.create_connection((host, int(port)))
-        late.sendall(f"POST /orders HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n{body}".encode())
+        late.sendall(
+            f"POST /orders HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n{body}".encode()
+        )
         while time.monotonic() - stopped < 1.6 * LEASE_S:
             # its silence proves nothing: the task isn't started anywhere else, and isn't called done
             loopback.users()
@@ -128,9 +138,16 @@
     for name, at in (("vm-1", 5.0), ("vm-2", 5.5)):
         place = loopback.data / "agents" / name
         place.mkdir(parents=True)
-        (place / "history.jsonl").write_text(f'{{"what":"begun","at":{at},"task":"t/0","attempt":1}}\n'
-                                             f'{{"what":"ended","at":{at + 1},"task":"t/0","attempt":1}}\n')
+        (place / "history.jsonl").write_text(
+            f'{{"what":"begun","at":{at},"task":"t/0","attempt":1}}\n'
+            f'{{"what":"ended","at":{at + 1},"task":"t/0","attempt":1}}\n'
+        )
     found = "\n".join(loopback.check())
-    for word in ("ran twice", "never came to its end", "told ['cancelled', 'done']", "began 20.0 s after",
-                 "on vm-1 and vm-2 at once"):
+    for word in (
+        "ran twice",
+        "never came to its end",
+        "told ['cancelled', 'done']",
+        "began 20.0 s after",
+        "on vm-1 and vm-2 at once",
+    ):
         assert word in found
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -37,8 +37,9 @@
     if kind == "leases":
         return lambda path, body: path.startswith("/grants")
     start = "tidebend/final/" if kind == "finals" else LIVE + kind
-    return lambda path, body: path == "/multi" and any(
-        (row.get("put") or row["delete"]).startswith(start) for row in body["writes"])
+    return lambda path, body: (
+        path == "/multi" and any((row.get("put") or row["delete"]).startswith(start) for row in body["writes"])
+    )
 
 
 def day(world):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -47,14 +47,28 @@
     return leader, other
 
 
-@pytest.mark.parametrize(("refused_s", "gap_s", "outage_s", "how", "also"), [
-    (0.5 * REPORT, 0.2, 40.0, "refuse", ""), (REPORT, 0.3, 40.0, "refuse", ""), (3 * REPORT, 2.0, 40.0, "refuse", ""),
-    (0.8 * CONTROLLER, 2.0, 60.0, "refuse", ""), (CONTROLLER, 3.0, 60.0, "refuse", ""),
-    (2 * CONTROLLER, 4.0, 60.0, "refuse", ""), (0.9 * WORKER, 8.0, 60.0, "refuse", ""),
-    (1.5 * WORKER, WORKER, 60.0, "refuse", ""), (14.0, 2.0, 20.0, "refuse", ""), (14.0, 2.0, 30.0, "refuse", ""),
-    (14.0, 2.0, 51.0, "refuse", "twice"), (14.0, 2.0, 51.0, "reset", ""), (14.0, 2.0, 51.0, "hold", ""),
-    (14.0, 2.0, 51.0, "refuse", "the other ends"), (14.0, 2.0, 51.0, "refuse", "frozen"),
-    (14.0, 2.0, 51.0, "refuse", "alone with its workers"), (14.0, 2.0, 51.0, "refuse", "unread before")])
+@pytest.mark.parametrize(
+    ("refused_s", "gap_s", "outage_s", "how", "also"),
+    [
+        (0.5 * REPORT, 0.2, 40.0, "refuse", ""),
+        (REPORT, 0.3, 40.0, "refuse", ""),
+        (3 * REPORT, 2.0, 40.0, "refuse", ""),
+        (0.8 * CONTROLLER, 2.0, 60.0, "refuse", ""),
+        (CONTROLLER, 3.0, 60.0, "refuse", ""),
+        (2 * CONTROLLER, 4.0, 60.0, "refuse", ""),
+        (0.9 * WORKER, 8.0, 60.0, "refuse", ""),
+        (1.5 * WORKER, WORKER, 60.0, "refuse", ""),
+        (14.0, 2.0, 20.0, "refuse", ""),
+        (14.0, 2.0, 30.0, "refuse", ""),
+        (14.0, 2.0, 51.0, "refuse", "twice"),
+        (14.0, 2.0, 51.0, "reset", ""),
+        (14.0, 2.0, 51.0, "hold", ""),
+        (14.0, 2.0, 51.0, "refuse", "the other ends"),
+        (14.0, 2.0, 51.0, "refuse", "frozen"),
+        (14.0, 2.0, 51.0, "refuse", "alone with its workers"),
+        (14.0, 2.0, 51.0, "refuse", "unread before"),
+    ],
+)
 def test_what_is_cancelled_elsewhere_is_gone_in_time_though_nothing_is_read(refused_s, gap_s, outage_s, how, also):
     """Its holder answers workers for no longer than `staleness_bound_s` after its last read."""
     random.seed(1)
@@ -63,9 +77,11 @@
         world.cloud.capacity["box", zone, False] = 2
         for _ in range(2):
             world.cloud.add("box", zone, False, -50.0)
-    shapes = ({"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False},
-              {"shape": "group", "pieces": 2, "run_s": 400.0, "markS": 5.0, "stowS": 2.0},
-              {"pieces": 6, "run_s": 300.0})
+    shapes = (
+        {"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False},
+        {"shape": "group", "pieces": 2, "run_s": 400.0, "markS": 5.0, "stowS": 2.0},
+        {"pieces": 6, "run_s": 300.0},
+    )
     for number in range(6):
         world.submit(f"req-c{number}", **{**JOB, **shapes[number % 3], "vcpus": 0.5, "harbor": "west"})
     world.submit("req-long", **{**JOB, "pieces": 4, "vcpus": 1.0, "run_s": 40.0})
@@ -225,8 +241,10 @@
         assert world.state.items[key][0]["lease"] == first_of(world).coordinator.lease
 
 
-@pytest.mark.parametrize("changes", [{"came": 3}, {"came": {"north.0": "x"}}, {"machines": 5}, {"state_contact": None},
-                                     {"blocks": [1]}, {"held": 1}])
+@pytest.mark.parametrize(
+    "changes",
+    [{"came": 3}, {"came": {"north.0": "x"}}, {"machines": 5}, {"state_contact": None}, {"blocks": [1]}, {"held": 1}],
+)
 def test_a_peers_frame_that_cannot_be_read_changes_nothing(changes):
     """One whose `came` was no map ended its connection's thread, and others were taken over by half."""
     for world in busy(1, 1.0, 10.0):
@@ -275,8 +293,7 @@
         world.frozen["n2"] = world.now + 15.0
         for _ in range(250):
             world.step()
-        assert {worker.name: worker.session for worker in world.workers.values()
-                if worker.name in sessions} == sessions
+        assert {worker.name: worker.session for worker in world.workers.values() if worker.name in sessions} == sessions
         while world.controllers["n1"] is None:
             world.step()
         for _ in range(200):
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -16,8 +16,7 @@
     assert (found.states, found.breach) == (499, "")  # bounded here; `python3 -m lab model` goes on
 
 
-@settings(max_examples=60, deadline=None, derandomize=True, database=None,
-          suppress_health_check=[HealthCheck.too_slow])
+@settings(max_examples=60, deadline=None, derandomize=True, database=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.lists(st.integers(0, 10_000), min_size=60, max_size=120))
 def test_chosen_ways_through_more_holders_keep_it_too(picks):
     left = list(picks)
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -72,8 +72,10 @@
     ('job "a" {\n  comand = ["x"]\n}\n', "2: job.a.comand"),
     ('job "a" {\n  command = ["x"]\n  after = ["b"]\n}\n', "3: job.a.after: 'b' is neither"),
     ('job "a" {\n  command = ["x"]\n  after = ["a"]\n}\n', "3: job.a.after: these jobs wait for each other"),
-    ('job "s" {\n  command = ["x"]\n  kind = "service"\n}\njob "a" {\n  command = ["x"]\n  after = ["s"]\n}\n',
-     "7: job.a.after: 's' is a service"),
+    (
+        'job "s" {\n  command = ["x"]\n  kind = "service"\n}\njob "a" {\n  command = ["x"]\n  after = ["s"]\n}\n',
+        "7: job.a.after: 's' is a service",
+    ),
     ('job "a" {\n  command = ["x"]\n  limits {\n    memory_gb = 0\n  }\n}\n', "4: job.a.limits.memory_gb: Expected"),
     ('job "a b" {\n  command = ["x"]\n}\n', "1: job.a b: Expected `str` matching"),
     ("jobs = 3\n", "1: jobs: unknown; expected job"),
@@ -92,14 +94,26 @@
 class Service:
     def __init__(self, directory, *words):
         self.environment = {**os.environ, "TIDEBEND_DATA": str(directory), "COLUMNS": "200"}
-        self.process = subprocess.Popen([sys.executable, "run.py", "up", *words], cwd=ROOT, env=self.environment,
-                                        stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
+        self.process = subprocess.Popen(
+            [sys.executable, "run.py", "up", *words],
+            cwd=ROOT,
+            env=self.environment,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+        )
         while "serves on" not in self.process.stdout.readline():
             assert self.process.poll() is None
 
     def __call__(self, *words, status=0):
-        done = subprocess.run([sys.executable, "run.py", *words], cwd=ROOT, env=self.environment, capture_output=True,
-                              text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "run.py", *words],
+            cwd=ROOT,
+            env=self.environment,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
         assert done.returncode == status, (words, done.stdout, done.stderr)
         return done.stdout if status == 0 else done.stderr
 
@@ -113,8 +127,21 @@
 def test_from_the_first_start_to_the_second(tmp_path):
     service = Service(tmp_path)
     try:
-        (row,) = json.loads(service("submit", "--json", "--tasks", "3", "--cpus", "0.1", "--wait", "--", "sh", "-c",
-                                    "echo said by $TIDEBEND_TASK"))
+        (row,) = json.loads(
+            service(
+                "submit",
+                "--json",
+                "--tasks",
+                "3",
+                "--cpus",
+                "0.1",
+                "--wait",
+                "--",
+                "sh",
+                "-c",
+                "echo said by $TIDEBEND_TASK",
+            )
+        )
         assert row["state"] == "done" and row["done"] == 3
         assert service("logs", f"{row['job']}/2") == "said by 2\n"
         assert row["job"] in service("list") and row["job"] not in service("list", "--state", "cancelled")
@@ -167,8 +194,10 @@
 @pytest.mark.timeout(60)
 def test_everything_inside_tls(tmp_path):
     assert main(["certs", "make", "--data", str(tmp_path), "--host", "127.0.0.1"]) == 0
-    rows = "\n".join(f'  {key} = "{tmp_path}/tls/{file}"' for key, file in
-                     (("authority", "authority.pem"), ("certificate", "server.pem"), ("key", "server.key")))
+    rows = "\n".join(
+        f'  {key} = "{tmp_path}/tls/{file}"'
+        for key, file in (("authority", "authority.pem"), ("certificate", "server.pem"), ("key", "server.key"))
+    )
     machine = MACHINE.replace("cpus = 1", "cpus = 1\n  agents = 1")
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
@@ -189,7 +218,8 @@
         assert "tidebend_machines 1.0" in text and "tidebend_turned_away_total" in text
         address, other = (tmp_path / "address").read_text().split()[0], tmp_path / "o/tls/authority.pem"
         assert main(["certs", "make", "--data", str(tmp_path / "o"), "--host", "127.0.0.1"]) == 0
-        assert "CERTIFICATE_VERIFY_FAILED" in service("list", "--control", address, "--authority", str(other),
-                                                      "--patience", "0.2", status=3)
+        assert "CERTIFICATE_VERIFY_FAILED" in service(
+            "list", "--control", address, "--authority", str(other), "--patience", "0.2", status=3
+        )
     finally:
         assert service.end() == 0
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -51,8 +51,9 @@
 
 
 def provider(engine, processes=None, far=None):
-    return Provider(engine, "here", KINDS, processes or Processes(), lambda address: far or Far(),
-                    lambda name: ("127.0.0.1", 1))
+    return Provider(
+        engine, "here", KINDS, processes or Processes(), lambda address: far or Far(), lambda name: ("127.0.0.1", 1)
+    )
 
 
 def listed(provider):
@@ -126,14 +127,21 @@
     processes = AgentProcesses(tmp_path, "127.0.0.1:1", tmp_path / "keys", 0.0, None)
     task = subprocess.Popen(["sleep", "71"], env={MARK: "m1", "PATH": "/bin:/usr/bin"}, start_new_session=True)
     stray = subprocess.Popen(["sleep", "72"], env={MARK: "m2", "PATH": "/bin:/usr/bin"}, start_new_session=True)
-    holder = subprocess.Popen([sys.executable, "-c", "import sys, time; from pathlib import Path\n"
-                               "from tidebend.kvstore.disk_log import DirectoryLock\n"
-                               "from tidebend.agent.write_ahead_log import Diary\n"
-                               "from tidebend.agent.processes import look, boot_id\n"
-                               "import os; place = Path(sys.argv[1]); lock = DirectoryLock(place); d = Diary(place)\n"
-                               "d.note(pid=str(os.getpid()), started=str(look(os.getpid()).started), boot=boot_id())\n"
-                               "print('up', flush=True); time.sleep(73)", str(tmp_path / "vm-1")],
-                              stdout=subprocess.PIPE)
+    holder = subprocess.Popen(
+        [
+            sys.executable,
+            "-c",
+            "import sys, time; from pathlib import Path\n"
+            "from tidebend.kvstore.disk_log import DirectoryLock\n"
+            "from tidebend.agent.write_ahead_log import Diary\n"
+            "from tidebend.agent.processes import look, boot_id\n"
+            "import os; place = Path(sys.argv[1]); lock = DirectoryLock(place); d = Diary(place)\n"
+            "d.note(pid=str(os.getpid()), started=str(look(os.getpid()).started), boot=boot_id())\n"
+            "print('up', flush=True); time.sleep(73)",
+            str(tmp_path / "vm-1"),
+        ],
+        stdout=subprocess.PIPE,
+    )
     try:
         holder.stdout.readline()
         diary = Diary(tmp_path / "vm-1")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -17,10 +17,28 @@
 from lab.world import World
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
-JOB = {"tier": "c", "crew": "team", "shape": "sweep", "rank": "standard", "pieces": 1, "vcpus": 4.0,
-       "accelerators": 0.0, "memoryGb": 4.0, "cargo": "img", "sizeGb": 1.0, "hulls": None, "harbor": None,
-       "samePlace": False, "spread": False, "driftwood": True, "reckonS": 10.0, "markS": 0.0, "stowS": 0.0,
-       "dueS": 120.0, "run_s": 10.0}
+JOB = {
+    "tier": "c",
+    "crew": "team",
+    "shape": "sweep",
+    "rank": "standard",
+    "pieces": 1,
+    "vcpus": 4.0,
+    "accelerators": 0.0,
+    "memoryGb": 4.0,
+    "cargo": "img",
+    "sizeGb": 1.0,
+    "hulls": None,
+    "harbor": None,
+    "samePlace": False,
+    "spread": False,
+    "driftwood": True,
+    "reckonS": 10.0,
+    "markS": 0.0,
+    "stowS": 0.0,
+    "dueS": 120.0,
+    "run_s": 10.0,
+}
 
 
 def value(text):
@@ -56,8 +74,10 @@
                 self.expected.append(words[1:])
             elif words[0][0].isdigit() and words[1] == "every":
                 begin, step, until = float(words[0]), float(words[2]), float(words[3])
-                self.events += [(begin + n * step, [words[4], f"{words[5]}-{n}", *words[6:]])
-                                for n in range(int((until - begin) / step) + 1)]
+                self.events += [
+                    (begin + n * step, [words[4], f"{words[5]}-{n}", *words[6:]])
+                    for n in range(int((until - begin) / step) + 1)
+                ]
             elif words[0][0].isdigit():
                 self.events.append((float(words[0]), words[1:]))
             elif words[0] == "run":
@@ -73,8 +93,16 @@
             elif words[0] == "team":
                 self.teams.append({"name": words[1], "gpus": 0.0, "gpus_max": 0.0, **fields(words[2:])})
             elif words[0] == "type":
-                self.types.append({"name": words[1], "accelerators": 0.0, "localGb": 50.0, "fetchGbPerS": 1.0,
-                                   "harbors": self.zones, **fields(words[2:])})
+                self.types.append(
+                    {
+                        "name": words[1],
+                        "accelerators": 0.0,
+                        "localGb": 50.0,
+                        "fetchGbPerS": 1.0,
+                        "harbors": self.zones,
+                        **fields(words[2:]),
+                    }
+                )
             elif words[0] == "capacity":
                 self.capacity.append((words[1], float(words[2]), float(words[3])))
             elif words[0] == "machines":
@@ -83,9 +111,20 @@
                 raise ValueError(f"{path.name}: {line}")
         self.seed = self.seed if seed is None else seed
         self.teams = self.teams or [{"name": "team", "cpus": 16.0, "cpus_max": 64.0, "gpus": 0.0, "gpus_max": 0.0}]
-        self.types = self.types or [{"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0,
-                                     "localGb": 50.0, "fetchGbPerS": 1.0, "price": 1.0, "spotPrice": 0.4,
-                                     "startupS": 10.0, "harbors": self.zones}]
+        self.types = self.types or [
+            {
+                "name": "box",
+                "vcpus": 8.0,
+                "accelerators": 0.0,
+                "memoryGb": 32.0,
+                "localGb": 50.0,
+                "fetchGbPerS": 1.0,
+                "price": 1.0,
+                "spotPrice": 0.4,
+                "startupS": 10.0,
+                "harbors": self.zones,
+            }
+        ]
 
     def run(self):
         random.seed(self.seed)
@@ -148,8 +187,14 @@
         elif what == "mute":  # MACHINE SECONDS: commands reach it, its reports don't arrive
             world.mute[rest[0]] = world.now + float(rest[1])
         elif what == "copies":  # MACHINE|all SECONDS DELAY [everywhere]: its reports come again so much later
-            world.copies.append(Copies(None if rest[0] == "all" else rest[0], world.now + float(rest[1]),
-                                       float(rest[2]), "everywhere" in rest))
+            world.copies.append(
+                Copies(
+                    None if rest[0] == "all" else rest[0],
+                    world.now + float(rest[1]),
+                    float(rest[2]),
+                    "everywhere" in rest,
+                )
+            )
         elif what == "repeats":  # SECONDS LATE: direct commands are carried out again so much later
             world.repeats.append((world.now + float(rest[0]), float(rest[1])))
         elif what == "late_reports":  # SECONDS SHARE: copies of these come again, up to well over a lease later
@@ -197,15 +242,22 @@
     if what == "answer":  # the last answer's status
         return world.answers[rest[0]][0] == int(rest[1])
     if what == "on":  # tasks on machines now
-        return sum(1 for worker in world.workers.values() for key, task in worker.tasks.items()
-                   if key.partition("/")[0] == rest[0] and task.state == "running") == int(rest[1])
+        return sum(
+            1
+            for worker in world.workers.values()
+            for key, task in worker.tasks.items()
+            if key.partition("/")[0] == rest[0] and task.state == "running"
+        ) == int(rest[1])
     if what == "starts":  # JOB at_most N
         return sum(1 for row in world.log if row[1] == "on" and row[2].partition("/")[0] == rest[0]) <= int(rest[2])
     if what == "no_change_refused":  # for its size
         return not world.state.refused
     if what == "format":
-        return world.state.items["tidebend/live/format"][0] == {"version": int(rest[0])} if int(rest[0]) > 1 \
+        return (
+            world.state.items["tidebend/live/format"][0] == {"version": int(rest[0])}
+            if int(rest[0]) > 1
             else "tidebend/live/format" not in world.state.items
+        )
     if what == "started":  # JOB within SECONDS of its submission
         asked = next(row[0] for row in world.log if row[1] == "asked" and row[3] == rest[0])
         first = next((row[0] for row in world.log if row[1] == "on" and row[2].partition("/")[0] == rest[0]), 1e18)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -29,9 +29,27 @@
 
 
 def spec(**changes):
-    fields = dict(job_class="c", team="t", kind="array", priority="normal", tasks=1, cpus=4.0, gpus=0.0,
-                  memory_gb=1.0, image="i", image_gb=0.0, types=None, zone=None, one_zone=False, spread=False,
-                  spot=True, estimate_s=10.0, checkpoint_s=0.0, save_s=0.0, deadline_s=100.0)
+    fields = dict(
+        job_class="c",
+        team="t",
+        kind="array",
+        priority="normal",
+        tasks=1,
+        cpus=4.0,
+        gpus=0.0,
+        memory_gb=1.0,
+        image="i",
+        image_gb=0.0,
+        types=None,
+        zone=None,
+        one_zone=False,
+        spread=False,
+        spot=True,
+        estimate_s=10.0,
+        checkpoint_s=0.0,
+        save_s=0.0,
+        deadline_s=100.0,
+    )
     return JobSpec(**{**fields, **changes})
 
 
@@ -44,8 +62,9 @@
 
 def want(job, **changes):
     made = spec(**changes)
-    return Want(job, made, value_of(own_demand(made, 0.0, made.estimate_s), 0.0, made.estimate_s), made.estimate_s,
-                made.tasks)
+    return Want(
+        job, made, value_of(own_demand(made, 0.0, made.estimate_s), 0.0, made.estimate_s), made.estimate_s, made.tasks
+    )
 
 
 def test_value_function():
@@ -80,8 +99,9 @@
 
 
 def test_spread_counts_places_still_held():
-    service = Want("s", spec(kind="service", spread=True, spot=False, tasks=2), Value(1, 1, 0, 1), 10.0, 1,
-                   zones={"north": 1})
+    service = Want(
+        "s", spec(kind="service", spread=True, spot=False, tasks=2), Value(1, 1, 0, 1), 10.0, 1, zones={"north": 1}
+    )
     placed = map_tasks([service], [place("a"), place("b", "south")], 0.0, 100.0)
     assert [p.machine for p in placed] == ["b"]
 
@@ -117,11 +137,19 @@
     placements = []
     wants = [want for want in wants if want.waiting > 0]
     while True:
-        if not any(times_fit(p.timeline.free[0], need_of(w.spec)) and allowed_on(w, p)
-                   for w in wants for p in places if w.waiting > 0):
+        if not any(
+            times_fit(p.timeline.free[0], need_of(w.spec)) and allowed_on(w, p)
+            for w in wants
+            for p in places
+            if w.waiting > 0
+        ):
             return placements
-        slots = [(best_slot(w, p, now, now + horizon), i, j) for i, w in enumerate(wants) for j, p in enumerate(places)
-                 if w.waiting > 0 and allowed_on(w, p)]
+        slots = [
+            (best_slot(w, p, now, now + horizon), i, j)
+            for i, w in enumerate(wants)
+            for j, p in enumerate(places)
+            if w.waiting > 0 and allowed_on(w, p)
+        ]
         slots = sorted(s for s in slots if s[0] is not None)
         if not slots:
             return placements
@@ -147,8 +175,16 @@
 
 
 def some_wants(random_, jobs):
-    return [want(f"j{number}", cpus=random_.choice([1.0, 2.0, 5.0]), estimate_s=random_.uniform(5.0, 60.0),
-                 tasks=random_.randint(1, 9), deadline_s=random_.uniform(50.0, 200.0)) for number in range(jobs)]
+    return [
+        want(
+            f"j{number}",
+            cpus=random_.choice([1.0, 2.0, 5.0]),
+            estimate_s=random_.uniform(5.0, 60.0),
+            tasks=random_.randint(1, 9),
+            deadline_s=random_.uniform(50.0, 200.0),
+        )
+        for number in range(jobs)
+    ]
 
 
 def test_the_event_starts_what_the_plain_pick_starts():
@@ -175,10 +211,17 @@
     assert len(looked) < 100
 
 
-@pytest.mark.parametrize(("one_zone", "free", "offered", "expected"), [
-    (False, "abc", "abc", {"a": 1}),  # room in three zones, each under another holder
-    (True, "a", "bc", {"b": 2}),  # the cloud has no more where one place is free
-    (True, "a", "abc", {"a": 1}), (True, "aa", "bc", {}), (False, "", "bc", {"b": 2}), (False, "a", "", {})])
+@pytest.mark.parametrize(
+    ("one_zone", "free", "offered", "expected"),
+    [
+        (False, "abc", "abc", {"a": 1}),  # room in three zones, each under another holder
+        (True, "a", "bc", {"b": 2}),  # the cloud has no more where one place is free
+        (True, "a", "abc", {"a": 1}),
+        (True, "aa", "bc", {}),
+        (False, "", "bc", {"b": 2}),
+        (False, "a", "", {}),
+    ],
+)
 def test_a_gangs_machines_are_rented_where_one_holder_can_place_all_of_it(one_zone, free, offered, expected):
     """Free machines of any zone counted for it: it waited for ever, and nothing was rented."""
     kind = MachineType("box", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 10.0, ("a", "b", "c"))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -62,14 +62,29 @@
     import subprocess
     import sys
 
-    code = ("import sys, tidebend.cli, tidebend.controller\n"
-            "print(*sorted({name.partition('.')[0] for name in sys.modules}))\n"
-            "print(*sorted(name for name in sys.modules if name.startswith('tidebend.')))")
-    tops, ours = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True,
-                                check=True).stdout.splitlines()
+    code = (
+        "import sys, tidebend.cli, tidebend.controller\n"
+        "print(*sorted({name.partition('.')[0] for name in sys.modules}))\n"
+        "print(*sorted(name for name in sys.modules if name.startswith('tidebend.')))"
+    )
+    tops, ours = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    ).stdout.splitlines()
     heavy = {"msgspec", "rich", "structlog", "hcl2", "sqlite3", "cryptography", "prometheus_client"}
     assert not heavy & set(tops.split())
-    new = ("access", "agent", "client", "control", "hcl", "logs", "messages", "provider", "kvstore", "protocol.worker",
-           "protocol.store", "protocol.cloud", "protocol.user")
-    assert not [name for name in ours.split()
-                if any(f"{name}.".startswith(f"tidebend.{package}.") for package in new)]
+    new = (
+        "access",
+        "agent",
+        "client",
+        "control",
+        "hcl",
+        "logs",
+        "messages",
+        "provider",
+        "kvstore",
+        "protocol.worker",
+        "protocol.store",
+        "protocol.cloud",
+        "protocol.user",
+    )
+    assert not [name for name in ours.split() if any(f"{name}.".startswith(f"tidebend.{package}.") for package in new)]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -192,7 +192,7 @@
     torn = tmp_path / "torn"
     torn.mkdir()
     (torn / FILE).write_bytes(files[FILE])
-    (torn / f"{FILE}-wal").write_bytes(files[f"{FILE}-wal"][:length + 100] + b"\0" * 3000)
+    (torn / f"{FILE}-wal").write_bytes(files[f"{FILE}-wal"][: length + 100] + b"\0" * 3000)
     again = Engine(torn)
     assert again.get("first")[0] is not None and again.get("second")[0] is None
     assert again.feed.revision == 1
@@ -208,8 +208,12 @@
         engine.transact({}, [Write("big", big)])
     with pytest.raises(Failed):
         engine.transact({}, [Write("big2", big)])
-    assert StateService(engine, Limits(1e6, 1e6, 32768, 4)).handle(
-        "POST", "/multi", {"writes": [{"put": "big", "v": "x" * 20_000}]})[0] == 503
+    assert (
+        StateService(engine, Limits(1e6, 1e6, 32768, 4)).handle(
+            "POST", "/multi", {"writes": [{"put": "big", "v": "x" * 20_000}]}
+        )[0]
+        == 503
+    )
     assert engine.get("before")[0].value == 1 and engine.get("big")[0] is None
     revision = engine.feed.revision
     engine._connection.execute("PRAGMA max_page_count = 1000000")
@@ -265,8 +269,12 @@
 
 @pytest.mark.parametrize("fault", ["store.before-commit:20", "store.after-commit:20"])
 def test_killed_in_a_sync_what_was_answered_is_there(tmp_path, fault):
-    done = subprocess.run([sys.executable, "-c", WRITER, str(tmp_path / "s")], capture_output=True, text=True,
-                          env={**os.environ, "TIDEBEND_FAULT": fault})
+    done = subprocess.run(
+        [sys.executable, "-c", WRITER, str(tmp_path / "s")],
+        capture_output=True,
+        text=True,
+        env={**os.environ, "TIDEBEND_FAULT": fault},
+    )
     assert done.returncode == -signal.SIGKILL
     answered = len(done.stdout.split())
     assert answered == 19
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -32,6 +32,7 @@
         if not limit.allows(usage.plus(job.spec, tasks.bit_count()).cpus, 0.0):
             return None
         return job.with_claims([Claim("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
+
     return edit
 
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -23,8 +23,9 @@
 def busy(seed, report_s, lease_s, cancel_s=35.0):
     """Six machines in each of three zones, all of them busy for long; its clock runs until the test is over."""
     random.seed(seed)
-    world = World(seed, ZONES, TEAMS, [{**TYPES[0], "harbors": ZONES}], lease_s=lease_s, report_s=report_s,
-                  cancel_s=cancel_s)
+    world = World(
+        seed, ZONES, TEAMS, [{**TYPES[0], "harbors": ZONES}], lease_s=lease_s, report_s=report_s, cancel_s=cancel_s
+    )
     for zone in ZONES:
         for _ in range(6):
             world.cloud.add("box", zone, False, -50.0)
@@ -111,8 +112,9 @@
         world.crash("n1", 30.0)
         while not first.coordinator.grant("south.0") and not world.controllers["n2"].coordinator.grant("south.0"):
             world.step()
-        holder = next(world.controllers[node] for node in ("n0", "n2")
-                      if world.controllers[node].coordinator.grant("south.0"))
+        holder = next(
+            world.controllers[node] for node in ("n0", "n2") if world.controllers[node].coordinator.grant("south.0")
+        )
         holder.fleet.drop([worker.name])
         began = world.steady
         for raw in old:
@@ -128,7 +130,8 @@
     "refused": lambda world: world.state.refuses.update(n1=world.now + 12.0),
     "frozen": lambda world: world.frozen.update(n0=world.now + 15.0),
     "left with its workers": lambda world: world.cuts.extend(
-        [Cut("n2", "state", world.now + 15.0, True), Cut("n2", "peers", world.now + 15.0, True)]),
+        [Cut("n2", "state", world.now + 15.0, True), Cut("n2", "peers", world.now + 15.0, True)]
+    ),
     "deaf machines": lambda world: world.deaf.update(dict.fromkeys(list(world.workers)[::4], world.now + 15.0)),
     "copies": lambda world: world.copies.append(Copies(None, world.now + 40.0, 17.0, True)),
 }
@@ -138,12 +141,17 @@
     """Every kind of record through every trouble; then each controller is asked about each job."""
     for world in busy(3, 1.0, 10.0):
         world.polls.clear()
-        more = [("req-service", {"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False}),
-                ("req-gang", {"shape": "group", "pieces": 2, "samePlace": True}),
-                ("req-large", {"pieces": 3000, "vcpus": 0.01, "memoryGb": 0.01}),
-                ("req-first", {}), ("req-second", {"awaits": ["req-first"]}), ("req-third", {"awaits": ["req-second"]}),
-                ("req-cancelled", {"pieces": 4, "run_s": 500.0}), ("req-after", {"awaits": ["req-cancelled"]}),
-                ("req-mistake", {"pieces": 6, "fails_s": 1.0})]
+        more = [
+            ("req-service", {"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False}),
+            ("req-gang", {"shape": "group", "pieces": 2, "samePlace": True}),
+            ("req-large", {"pieces": 3000, "vcpus": 0.01, "memoryGb": 0.01}),
+            ("req-first", {}),
+            ("req-second", {"awaits": ["req-first"]}),
+            ("req-third", {"awaits": ["req-second"]}),
+            ("req-cancelled", {"pieces": 4, "run_s": 500.0}),
+            ("req-after", {"awaits": ["req-cancelled"]}),
+            ("req-mistake", {"pieces": 6, "fails_s": 1.0}),
+        ]
         waiting = list(TROUBLES.values())
         for number, (name, changes) in enumerate(more):
             world.submit(name, **{**JOB, "run_s": 8.0, **changes})
@@ -171,10 +179,22 @@
         assert not breaches(world.log, world.jobs, TEAMS, world.cancel_s, world.completed)
 
 
-@pytest.mark.parametrize("changes", [
-    {"harbor": "nowhere"}, {"harbor": "south"}, {"hull": "other"}, {"driftwood": True}, {"watch": -1}, {"tally": 2**64},
-    {"helm": "x"}, {"vessel": "a b"}, {"pieces": [{"piece": "req-a/0", "launch": 1, "tide": "running"}] * 2},
-    {"pieces": [{"piece": "req-a/x", "launch": 1, "tide": "running"}]}, {"warningS": "soon"}])
+@pytest.mark.parametrize(
+    "changes",
+    [
+        {"harbor": "nowhere"},
+        {"harbor": "south"},
+        {"hull": "other"},
+        {"driftwood": True},
+        {"watch": -1},
+        {"tally": 2**64},
+        {"helm": "x"},
+        {"vessel": "a b"},
+        {"pieces": [{"piece": "req-a/0", "launch": 1, "tide": "running"}] * 2},
+        {"pieces": [{"piece": "req-a/x", "launch": 1, "tide": "running"}]},
+        {"warningS": "soon"},
+    ],
+)
 def test_a_report_that_cannot_be_is_refused_by_name_and_changes_nothing(changes):
     for world in busy(1, 1.0, 10.0):
         holder = world.controllers["n0"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -40,7 +40,7 @@
 
 @pytest.mark.parametrize("sample", SAMPLES["jobs"], ids=lambda sample: "+".join(sample["value"]))
 def test_a_job_as_production_wrote_it_is_read_and_written_as_it_was(sample):
-    job = Job.unpack(sample["key"][len(JOB):], sample["value"], 7)
+    job = Job.unpack(sample["key"][len(JOB) :], sample["value"], 7)
     assert json.loads(json.dumps(job.pack())) == sample["value"]
     assert job.key == sample["key"] and not job.held
 
@@ -91,8 +91,20 @@
 def test_awaits_is_not_dropped_before_the_format_is_raised():
     random.seed(1)
     world = World(1, ["north", "south"], [{"name": "team", "cpus_max": 9.0}], [])
-    world.types.append({"name": "box", "vcpus": 8.0, "accelerators": 0.0, "memoryGb": 32.0, "localGb": 50.0,
-                        "fetchGbPerS": 1.0, "price": 1.0, "spotPrice": 0.4, "startupS": 10.0, "harbors": ["north"]})
+    world.types.append(
+        {
+            "name": "box",
+            "vcpus": 8.0,
+            "accelerators": 0.0,
+            "memoryGb": 32.0,
+            "localGb": 50.0,
+            "fetchGbPerS": 1.0,
+            "price": 1.0,
+            "spotPrice": 0.4,
+            "startupS": 10.0,
+            "harbors": ["north"],
+        }
+    )
     world.crash("n1", 10.0)
     with world.clock():
         for _ in range(60):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -42,9 +42,16 @@
 
 
 def test_batch_work_that_ends_inside_is_waited_for_and_the_rest_begins_anew_elsewhere():
-    gone = given_up([Standing("ends", ends=(105.0,)), Standing("two", ends=(103.0, 200.0)), Standing("idle"),
-                     Standing("long", ends=(130.0,)), Standing("over", ends=(85.0,)),
-                     Standing("gang", ends=(200.0,), worth_s=20.0)])
+    gone = given_up(
+        [
+            Standing("ends", ends=(105.0,)),
+            Standing("two", ends=(103.0, 200.0)),
+            Standing("idle"),
+            Standing("long", ends=(130.0,)),
+            Standing("over", ends=(85.0,)),
+            Standing("gang", ends=(200.0,), worth_s=20.0),
+        ]
+    )
     assert gone == {"long": 101.0, "over": 101.0, "idle": 101.0, "two": 103.0, "ends": 105.0, "gang": 121.0}
 
 
@@ -93,8 +100,12 @@
     value = world.state.items[ZONE + "north"][0]
     assert value["node"] == "n0" and value["held"] is True
     world.crash("n1", 0.25)
-    assert seconds_until(world, lambda: world.controllers["n1"] is not None
-                         and world.controllers["n1"].mirror.loaded.is_set()) < 2.0
+    assert (
+        seconds_until(
+            world, lambda: world.controllers["n1"] is not None and world.controllers["n1"].mirror.loaded.is_set()
+        )
+        < 2.0
+    )
     assert world.controllers["n1"].coordinator.left_alone("north.0")[0] == "n0"
 
 
--- a/tidebend/access/addresses.py
+++ b/tidebend/access/addresses.py
@@ -29,6 +29,8 @@
             raise ValueError(f"{text}: name one address of this machine, since others are told to call it")
         inside = address.is_loopback
     if not inside and not tls:
-        raise NotLoopback(f"{text}: beyond loopback nothing goes without TLS, since the key would travel in the clear; "
-                          "use an address in 127.0.0.0/8, or a tls block (`tidebend certs make`)")
+        raise NotLoopback(
+            f"{text}: beyond loopback nothing goes without TLS, since the key would travel in the clear; "
+            "use an address in 127.0.0.0/8, or a tls block (`tidebend certs make`)"
+        )
     return host, port
--- a/tidebend/access/authentication.py
+++ b/tidebend/access/authentication.py
@@ -29,7 +29,7 @@
 
     def _dispatch(self) -> Reply:
         shown = self.headers.get(HEADER, "")
-        key = self.server.ring.accepts(shown[len(SCHEME):]) if shown.startswith(SCHEME) else None
+        key = self.server.ring.accepts(shown[len(SCHEME) :]) if shown.startswith(SCHEME) else None
         if key is None:
             self.close_connection = True
             self.server.turned_away(self.client_address, self.command, self.path, bool(shown))
@@ -47,8 +47,16 @@
 
 
 class Gate(Server):
-    def __init__(self, address: tuple[str, int], route: Route, ring: Keyring, idle_s: float, body_s: float,
-                 most: int, tls: ssl.SSLContext | None = None) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        route: Route,
+        ring: Keyring,
+        idle_s: float,
+        body_s: float,
+        most: int,
+        tls: ssl.SSLContext | None = None,
+    ) -> None:
         self.ring = ring
         self._tls = tls
         self.refused = 0
@@ -113,15 +121,25 @@
             if now - self._refusals_at < 1.0:
                 return
             self._refusals_at = now
-        log.warning("turned away: %s from %s %s, %s key (%d in all)", method, address[0], path.partition("?")[0][:80],
-                    "a wrong" if with_key else "no", self.refused)
+        log.warning(
+            "turned away: %s from %s %s, %s key (%d in all)",
+            method,
+            address[0],
+            path.partition("?")[0][:80],
+            "a wrong" if with_key else "no",
+            self.refused,
+        )
 
     def _watch(self) -> None:
         while not self._closed.wait(self._patience_s / 8.0):
             now = time.monotonic()
             with self._tables:
-                late = [connection for table in (self._guests, self._reading) for connection, since in table.items()
-                        if now - since > self._patience_s]
+                late = [
+                    connection
+                    for table in (self._guests, self._reading)
+                    for connection, since in table.items()
+                    if now - since > self._patience_s
+                ]
                 for connection in late:
                     self._guests.pop(connection, None)
                     self._reading.pop(connection, None)
--- a/tidebend/access/client.py
+++ b/tidebend/access/client.py
@@ -13,8 +13,9 @@
 
 
 class KeyedClient(HttpClient):
-    def __init__(self, address: tuple[str, int], shown: Callable[[], str], keep: int = 4,
-                 tls: ssl.SSLContext | None = None) -> None:
+    def __init__(
+        self, address: tuple[str, int], shown: Callable[[], str], keep: int = 4, tls: ssl.SSLContext | None = None
+    ) -> None:
         super().__init__(address, keep)
         self._shown = shown
         self._tls = tls
--- a/tidebend/access/tls.py
+++ b/tidebend/access/tls.py
@@ -46,8 +46,9 @@
             raise BadCertificate(f"{self.key}: others can read it; chmod 600 {self.key}")
         until = expires(Path(self.certificate))
         if until < datetime.datetime.now(datetime.UTC):
-            raise BadCertificate(f"{self.certificate}: has run out on {until:%Y-%m-%d}; "
-                                 "`tidebend certs make` makes another")
+            raise BadCertificate(
+                f"{self.certificate}: has run out on {until:%Y-%m-%d}; `tidebend certs make` makes another"
+            )
         try:
             context.load_cert_chain(self.certificate, self.key)
         except (ssl.SSLError, OSError) as error:
@@ -90,10 +91,12 @@
     builder = builder.add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
     builder = builder.add_extension(x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH]), critical=False)
     builder = builder.add_extension(
-        x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False)
+        x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False
+    )
     write_private(directory / f"{name}.key", _private(key))
-    write_private(directory / f"{name}.pem",
-                  builder.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
+    write_private(
+        directory / f"{name}.pem", builder.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+    )
     return Tls(str(directory / AUTHORITY), str(directory / f"{name}.pem"), str(directory / f"{name}.key"))
 
 
@@ -104,9 +107,19 @@
     builder = builder.add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
     builder = builder.add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
     builder = builder.add_extension(
-        x509.KeyUsage(digital_signature=True, key_cert_sign=True, crl_sign=True, content_commitment=False,
-                      key_encipherment=False, data_encipherment=False, key_agreement=False, encipher_only=False,
-                      decipher_only=False), critical=True)
+        x509.KeyUsage(
+            digital_signature=True,
+            key_cert_sign=True,
+            crl_sign=True,
+            content_commitment=False,
+            key_encipherment=False,
+            data_encipherment=False,
+            key_agreement=False,
+            encipher_only=False,
+            decipher_only=False,
+        ),
+        critical=True,
+    )
     write_private(directory / AUTHORITY_KEY, _private(key))
     write_private(directory / AUTHORITY, builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
 
@@ -114,9 +127,15 @@
 def _builder(name: str, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int) -> x509.CertificateBuilder:
     now = datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name[:64])])
-    return (x509.CertificateBuilder().subject_name(subject).issuer_name(issuer).public_key(key.public_key())
-            .serial_number(x509.random_serial_number()).not_valid_before(now - datetime.timedelta(hours=1))
-            .not_valid_after(now + datetime.timedelta(days=days)))
+    return (
+        x509.CertificateBuilder()
+        .subject_name(subject)
+        .issuer_name(issuer)
+        .public_key(key.public_key())
+        .serial_number(x509.random_serial_number())
+        .not_valid_before(now - datetime.timedelta(hours=1))
+        .not_valid_after(now + datetime.timedelta(days=days))
+    )
 
 
 def _host(text: str) -> x509.GeneralName:
@@ -127,6 +146,6 @@
 
 
 def _private(key: ec.EllipticCurvePrivateKey) -> bytes:
-    return key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8,
-                             serialization.NoEncryption())
-
+    return key.private_bytes(
+        serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
+    )
--- a/tidebend/agent/control_connection.py
+++ b/tidebend/agent/control_connection.py
@@ -153,8 +153,9 @@
         for task, phase in worker.ask(worker.gathering):
             asked = Muster(task.job, task.attempt, task.index, task.description.tasks, phase)
             try:
-                status, body = self._clients[self._names[0]].request("POST", paths.MUSTER, msgspec.to_builtins(asked),
-                                                                     ANSWER_S)
+                status, body = self._clients[self._names[0]].request(
+                    "POST", paths.MUSTER, msgspec.to_builtins(asked), ANSWER_S
+                )
             except (Unreachable, NoAnswer):
                 self._ended.wait(LEAST_PAUSE_S)
                 return
--- a/tidebend/agent/endpoints.py
+++ b/tidebend/agent/endpoints.py
@@ -26,7 +26,7 @@
             if path == PATH_SHOW and method == "GET":
                 return Reply(200, worker.ask(worker.report)[0])
             if path.startswith(paths.AGENT_OUTPUT + "/") and method == "GET":
-                return _output(worker, path[len(paths.AGENT_OUTPUT) + 1:], query)
+                return _output(worker, path[len(paths.AGENT_OUTPUT) + 1 :], query)
             if path == paths.AGENT_LEAVE and method == "POST":
                 return _leave(worker, body())
         except TimeoutError:
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -82,10 +82,25 @@
     diary.note(machine=terms.machine, left="")
     link = Link(ring, terms, settings.tls)
     # the port is known before the first report is made, and the routes once there is a worker
-    gate = Gate(place(settings.listen), lambda *_: Reply(503, {"error": "starting"}), ring, 2 * terms.lease_s,
-                min(5.0, terms.lease_s / 2), MOST_CONNECTIONS, settings.tls.server() if settings.tls else None)
-    worker = Worker(settings.place(), diary, terms, f"{gate.server_address[0]}:{gate.port}", settings.kind,
-                    lambda _: link.fetch_wanted.set(), link.muster_wanted.set, link.changed.set)
+    gate = Gate(
+        place(settings.listen),
+        lambda *_: Reply(503, {"error": "starting"}),
+        ring,
+        2 * terms.lease_s,
+        min(5.0, terms.lease_s / 2),
+        MOST_CONNECTIONS,
+        settings.tls.server() if settings.tls else None,
+    )
+    worker = Worker(
+        settings.place(),
+        diary,
+        terms,
+        f"{gate.server_address[0]}:{gate.port}",
+        settings.kind,
+        lambda _: link.fetch_wanted.set(),
+        link.muster_wanted.set,
+        link.changed.set,
+    )
     gate.route = endpoints.route(worker)
     thread = worker.start()
     link.start(worker)
@@ -106,8 +121,7 @@
     return not ended.is_set()
 
 
-def _join(settings: AgentSettings, ring: Keyring, nonce: str, left: list[str],
-          ended: threading.Event) -> Joined | None:
+def _join(settings: AgentSettings, ring: Keyring, nonce: str, left: list[str], ended: threading.Event) -> Joined | None:
     client = KeyedClient(place(settings.control), ring.shown, 1, settings.tls.client() if settings.tls else None)
     since = time.monotonic()
     while not ended.is_set():
--- a/tidebend/agent/output.py
+++ b/tidebend/agent/output.py
@@ -39,7 +39,7 @@
                     (self.directory / OLDER).unlink(missing_ok=True)
                     (self.directory / NEWER).rename(self.directory / OLDER)
                 self._open()
-            part, data = data[:self._half - self._size], data[self._half - self._size:]
+            part, data = data[: self._half - self._size], data[self._half - self._size :]
             try:
                 self._size += os.write(self._file, part)
             except OSError:
@@ -81,7 +81,7 @@
     except OSError:
         return
     places.sort()
-    for _, place in places[:max(0, len(places) - KEPT)]:
+    for _, place in places[: max(0, len(places) - KEPT)]:
         if place not in busy:
             shutil.rmtree(place, ignore_errors=True)
             with contextlib.suppress(OSError):
--- a/tidebend/agent/processes.py
+++ b/tidebend/agent/processes.py
@@ -46,7 +46,7 @@
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
         return None
-    fields = text[text.rindex(")") + 2:].split()
+    fields = text[text.rindex(")") + 2 :].split()
     return Seen(pid, int(fields[1]), int(fields[19]), fields[0] in "ZX")
 
 
@@ -63,7 +63,7 @@
         return None
     for row in raw.split(b"\0"):
         if row.startswith(MARK.encode() + b"="):
-            return row[len(MARK) + 1:].decode("ascii", "replace")
+            return row[len(MARK) + 1 :].decode("ascii", "replace")
     return None
 
 
@@ -74,8 +74,15 @@
         """Raises OSError."""
         ours, theirs = os.pipe()
         try:
-            self.process = subprocess.Popen(["/bin/sh", "-c", STUB, "task", *command], stdin=ours, stdout=output,
-                                            stderr=output, cwd=directory, env=environment, start_new_session=True)
+            self.process = subprocess.Popen(
+                ["/bin/sh", "-c", STUB, "task", *command],
+                stdin=ours,
+                stdout=output,
+                stderr=output,
+                cwd=directory,
+                env=environment,
+                start_new_session=True,
+            )
         except BaseException:
             os.close(theirs)
             raise
--- a/tidebend/agent/tasks.py
+++ b/tidebend/agent/tasks.py
@@ -61,8 +61,12 @@
     def environment(self, base: dict[str, str], image: str = "") -> dict[str, Any]:
         description = self.description
         assert description is not None
-        own = {"TIDEBEND_JOB": self.job, "TIDEBEND_TASK": str(self.index), "TIDEBEND_ATTEMPT": str(self.attempt),
-               "TIDEBEND_TASKS": str(description.tasks)}
+        own = {
+            "TIDEBEND_JOB": self.job,
+            "TIDEBEND_TASK": str(self.index),
+            "TIDEBEND_ATTEMPT": str(self.attempt),
+            "TIDEBEND_TASKS": str(description.tasks),
+        }
         if description.image:
             own["TIDEBEND_IMAGE"] = image
         if description.checkpoints:
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -65,8 +65,17 @@
 
 
 class Worker:
-    def __init__(self, directory: Path, diary: Diary, terms: Joined, address: str, kind: str,
-                 fetch: Callable[[str], None], muster: Callable[[], None], changed: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        directory: Path,
+        diary: Diary,
+        terms: Joined,
+        address: str,
+        kind: str,
+        fetch: Callable[[str], None],
+        muster: Callable[[], None],
+        changed: Callable[[], None],
+    ) -> None:
         """`fetch` asks for a job's description, `muster` has gangs' tasks meet, `changed` has it reported."""
         self.directory = directory
         self.outputs = directory / "tasks"
@@ -151,8 +160,9 @@
     def _pause(self) -> float:
         now = steady()
         ends = [task.kill_at for task in self._tasks.values() if task.kill_at is not None]
-        ends += [task.waiting_since + self.terms.gang_wait_s for task in self._tasks.values()
-                 if task.state == "waiting"]
+        ends += [
+            task.waiting_since + self.terms.gang_wait_s for task in self._tasks.values() if task.state == "waiting"
+        ]
         return max(0.0, min([self._lease_end, *ends]) - now) + 0.002
 
     # Sessions and leases
@@ -204,8 +214,18 @@
 
     def _body(self) -> dict[str, Any]:
         self._sequence += 1
-        return report(self.terms.machine, self.address, self.kind, self.terms.zone, False, self.session,
-                      self._sequence, self.token, None, [task.row() for task in self._tasks.values()])
+        return report(
+            self.terms.machine,
+            self.address,
+            self.kind,
+            self.terms.zone,
+            False,
+            self.session,
+            self._sequence,
+            self.token,
+            None,
+            [task.row() for task in self._tasks.values()],
+        )
 
     def answered(self, answer: Answer, session: int, sent: float) -> bool:
         """Take over the answer to a report; False if it had to be dropped."""
@@ -242,8 +262,9 @@
             task = self._tasks.get(key)
             if command.op == "start":
                 if task is None:
-                    in_use = any((other.job, other.index) == key[:2] and other.state != "ended"
-                                 for other in self._tasks.values())
+                    in_use = any(
+                        (other.job, other.index) == key[:2] and other.state != "ended" for other in self._tasks.values()
+                    )
                     task = self._tasks[key] = Task(*key)
                     if in_use:
                         task.end("in_use")
@@ -273,8 +294,11 @@
 
     def described(self, job: str, description: Description | None) -> None:
         """The answer to `fetch`; None: the control service knows no such job."""
-        tasks = [task for task in self._tasks.values() if task.job == job and task.description is None
-                 and task.state == "fetching"]
+        tasks = [
+            task
+            for task in self._tasks.values()
+            if task.job == job and task.description is None and task.state == "fetching"
+        ]
         if description is None:
             for task in tasks:
                 task.end("no_such")
@@ -285,8 +309,9 @@
 
     def wanted(self) -> list[str]:
         """Jobs whose descriptions are missing."""
-        return sorted({task.job for task in self._tasks.values()
-                       if task.state == "fetching" and task.description is None})
+        return sorted(
+            {task.job for task in self._tasks.values() if task.state == "fetching" and task.description is None}
+        )
 
     # Starts
 
@@ -330,8 +355,11 @@
         """Its process has ended: those who wait for the image go on, or have failed with it."""
         image = first.description.image
         del self._preparing[image]
-        waiting = [task for task in self._tasks.values() if task.state == "fetching" and task.description is not None
-                   and task.description.image == image]
+        waiting = [
+            task
+            for task in self._tasks.values()
+            if task.state == "fetching" and task.description is not None and task.description.image == image
+        ]
         if first.why == "done":
             self._images.done(image)
             self._begin(waiting)
@@ -342,19 +370,27 @@
 
     def _give_up_images(self) -> None:
         """A preparation that no task waits for any more is ended."""
-        wanted = {task.description.image for task in self._tasks.values()
-                  if task.state == "fetching" and task.description is not None}
+        wanted = {
+            task.description.image
+            for task in self._tasks.values()
+            if task.state == "fetching" and task.description is not None
+        }
         for image, first in self._preparing.items():
             if image not in wanted and first.process and first.kill_at is None:
                 first.kill_at = steady()
                 signal_group(first.stub.process.pid, signal.SIGKILL)
 
     def _has_room(self, task: Task) -> bool:
-        others = [other.description for other in self._tasks.values()
-                  if other is not task and other.state != "ended" and other.description is not None]
+        others = [
+            other.description
+            for other in self._tasks.values()
+            if other is not task and other.state != "ended" and other.description is not None
+        ]
         mine = task.description
-        return all(sum(getattr(other, part) for other in others) + getattr(mine, part)
-                   <= getattr(self.terms, part) + 1e-6 for part in ("cpus", "gpus", "memory_gb"))
+        return all(
+            sum(getattr(other, part) for other in others) + getattr(mine, part) <= getattr(self.terms, part) + 1e-6
+            for part in ("cpus", "gpus", "memory_gb")
+        )
 
     def _launch(self, tasks: list[Task]) -> None:
         """Written down, begun, known by its process, and only then let go: wherever this ends, nothing is unknown."""
@@ -405,8 +441,12 @@
         ours, theirs = os.pipe()
         os.set_blocking(ours, False)
         try:
-            task.stub = Stub(description.prepare if task.prepares else description.command,
-                             {**task.environment(inherited(), image), MARK: task.mark}, directory, theirs)
+            task.stub = Stub(
+                description.prepare if task.prepares else description.command,
+                {**task.environment(inherited(), image), MARK: task.mark},
+                directory,
+                theirs,
+            )
             task.stub.bound(description.bounds)
         except BaseException:
             os.close(ours)
@@ -501,8 +541,7 @@
         self._selector.unregister(task.pidfd)
         os.close(task.pidfd)
         task.pidfd = -1
-        pids = [other.stub.process.pid for other in [*self._tasks.values(), *self._preparing.values()]
-                if other.process]
+        pids = [other.stub.process.pid for other in [*self._tasks.values(), *self._preparing.values()] if other.process]
         marks = {mark_of(seen.pid) for seen in reap_strangers(pids)}
         # what hides its mark can be told from others' only once there are no others
         if task.mark in marks or (None in marks and not pids):
@@ -515,8 +554,9 @@
         shutil.rmtree(task.output.directory / "work", ignore_errors=True)
         self._diary.ended([task.mark])
         if not task.prepares:
-            self._history.add("ended", steady(), task=task.name, attempt=task.attempt,
-                              status=task.stub.process.returncode)
+            self._history.add(
+                "ended", steady(), task=task.name, attempt=task.attempt, status=task.stub.process.returncode
+            )
 
     def _take_output(self, task: Task) -> None:
         for _ in range(16):  # a task that writes without end doesn't keep the others waiting
--- a/tidebend/agent/write_ahead_log.py
+++ b/tidebend/agent/write_ahead_log.py
@@ -69,13 +69,16 @@
 
     def begin(self, rows: list[Begun]) -> None:
         with self._whole():
-            self._connection.executemany("INSERT INTO begun (mark, task) VALUES (?, ?)",
-                                         [(row.mark, row.task) for row in rows])
+            self._connection.executemany(
+                "INSERT INTO begun (mark, task) VALUES (?, ?)", [(row.mark, row.task) for row in rows]
+            )
 
     def identify(self, rows: list[Begun]) -> None:
         with self._whole():
-            self._connection.executemany("UPDATE begun SET pid = ?, started = ?, boot = ? WHERE mark = ?",
-                                         [(row.pid, row.started, row.boot, row.mark) for row in rows])
+            self._connection.executemany(
+                "UPDATE begun SET pid = ?, started = ?, boot = ? WHERE mark = ?",
+                [(row.pid, row.started, row.boot, row.mark) for row in rows],
+            )
 
     def ended(self, marks: list[str]) -> None:
         """On a full disk they stay for the next call: looking once more for what is gone costs little."""
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -23,8 +23,9 @@
     return math.ceil(want.waiting / turns)
 
 
-def _zone_for(want: Want, capacities: list[Capacity], offers: list[Offer], by: float, fitting: set[str],
-              machines: dict[str, int]) -> str:
+def _zone_for(
+    want: Want, capacities: list[Capacity], offers: list[Offer], by: float, fitting: set[str], machines: dict[str, int]
+) -> str:
     """The zone in which a gang's places are to be had: where most of it fits by then and the rest can be rented.
 
     One holder places a gang, so that its tasks need room in one zone whether the job asks for that or not. Guards
@@ -32,11 +33,18 @@
     where the cloud has no more.
     """
     need = need_of(want.spec)
-    room = {zone: 0 for zone in {*(capacity.zone for capacity in capacities), *(offer.zone for offer in offers)}
-            if want.spec.zone in (None, zone)}
+    room = {
+        zone: 0
+        for zone in {*(capacity.zone for capacity in capacities), *(offer.zone for offer in offers)}
+        if want.spec.zone in (None, zone)
+    }
     for capacity in capacities:
-        if capacity.zone in room and capacity.type.name in fitting and (want.spec.spot or not capacity.spot) \
-                and capacity.most_cpus + EPSILON >= need[0]:
+        if (
+            capacity.zone in room
+            and capacity.type.name in fitting
+            and (want.spec.spot or not capacity.spot)
+            and capacity.most_cpus + EPSILON >= need[0]
+        ):
             room[capacity.zone] += times_fit(capacity.room_by(by), need)
     price = {zone: min((offer.price for offer in offers if offer.zone == zone), default=math.inf) for zone in room}
 
@@ -48,8 +56,9 @@
     return held[0] if held else min(room, key=rank, default="")
 
 
-def to_rent(wants: list[Want], capacities: list[Capacity], offers: list[Offer], now: float,
-            rank: dict[str, int]) -> list[Rental]:
+def to_rent(
+    wants: list[Want], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
+) -> list[Rental]:
     """Machines for the waiting work that those at hand can't serve in time, by cost for each task.
 
     `offers` leaves out what the cloud lately had none of; `rank` spreads rentals over the zones (fewest first).
@@ -58,9 +67,16 @@
     order = sorted(wants, key=lambda want: (not want.service, -want.value.start, want.value.soft, want.job))
     for want in order:
         need = need_of(want.spec)
-        allowed = [offer for offer in offers if offer.type.fits(want.spec) and (want.spec.spot or not offer.spot)
-                   and offer.zone in offer.type.zones and want.spec.zone in (None, offer.zone)
-                   and want.zone_room(offer.zone) > 0 and not (want.keeps_off_gpus and offer.type.gpus > 0)]
+        allowed = [
+            offer
+            for offer in offers
+            if offer.type.fits(want.spec)
+            and (want.spec.spot or not offer.spot)
+            and offer.zone in offer.type.zones
+            and want.spec.zone in (None, offer.zone)
+            and want.zone_room(offer.zone) > 0
+            and not (want.keeps_off_gpus and offer.type.gpus > 0)
+        ]
         boot_s = min((offer.type.boot_s for offer in allowed), default=0.0)
         ready_in = max(0.0, want.not_before - now)
         if ready_in > boot_s:
@@ -69,8 +85,11 @@
         slack = 0.0
         if not want.service:
             slack = max(0.0, min(SPARE * (want.value.soft - now - WRONG_BY * want.estimate), want.start_by - now))
-        fitting = {kind.name for kind in {capacity.type for capacity in capacities}
-                   if kind.fits(want.spec) and not (want.keeps_off_gpus and kind.gpus > 0)}
+        fitting = {
+            kind.name
+            for kind in {capacity.type for capacity in capacities}
+            if kind.fits(want.spec) and not (want.keeps_off_gpus and kind.gpus > 0)
+        }
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
         by = max(slack, ready_in, boot_s if not want.service else 0.0)
         only = _zone_for(want, capacities, allowed, by, fitting, rank) if want.gang and not want.spec.spread else None
@@ -99,8 +118,13 @@
                 tasks = min(missing, times_fit(whole, need), want.zone_room(offer.zone))
                 if tasks < 1:
                     continue
-                key = (offer.price / tasks, rank.get(offer.zone, 0) + counts.get(offer, 0), offer.type.boot_s,
-                       offer.type.name, offer.zone)
+                key = (
+                    offer.price / tasks,
+                    rank.get(offer.zone, 0) + counts.get(offer, 0),
+                    offer.type.boot_s,
+                    offer.type.name,
+                    offer.zone,
+                )
                 if best is None or key < best[0]:
                     best = (key, offer, tasks, whole)
             if best is None:
--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -11,8 +11,21 @@
 from tidebend.settings import SettingsError, load_settings
 
 # for these `tidebend.client` is imported; each has a --help of its own
-PRODUCT = ("up", "control", "agent", "submit", "status", "list", "wait", "logs", "cancel", "agents", "top", "keys",
-           "certs")
+PRODUCT = (
+    "up",
+    "control",
+    "agent",
+    "submit",
+    "status",
+    "list",
+    "wait",
+    "logs",
+    "cancel",
+    "agents",
+    "top",
+    "keys",
+    "certs",
+)
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -22,14 +35,18 @@
         prog="tidebend",
         description="One controller of a tidebend cluster. Without a command it runs until it is killed.",
         epilog="LOG_LEVEL in the environment (error, info, debug) says how much is logged to standard error. "
-               f"On machines of your own: {', '.join(PRODUCT)} (see `tidebend up --help`).",
+        f"On machines of your own: {', '.join(PRODUCT)} (see `tidebend up --help`).",
+    )
+    top.add_argument(
+        "command",
+        nargs="?",
+        choices=["run", "check-config", "format"],
+        default="run",
+        help="run the controller (default), only check the settings, or show the format of records that "
+        "is in force and what each controller reads",
     )
-    top.add_argument("command", nargs="?", choices=["run", "check-config", "format"], default="run",
-                     help="run the controller (default), only check the settings, or show the format of records that "
-                          "is in force and what each controller reads")
     top.add_argument("--config", metavar="FILE", required=True, help="the platform's settings file (TOML)")
-    top.add_argument("--knobs", metavar="FILE",
-                     help="the operators' own settings (HCL); the defaults hold without it")
+    top.add_argument("--knobs", metavar="FILE", help="the operators' own settings (HCL); the defaults hold without it")
     top.add_argument("--version", action="version", version=f"tidebend {__version__}")
     return top
 
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -38,15 +38,22 @@
 
 
 class Desk:
-    def __init__(self, directory: Path, control: str | None = None, key_file: str | None = None,
-                 authority: str | None = None, patience_s: float = PATIENCE_S) -> None:
+    def __init__(
+        self,
+        directory: Path,
+        control: str | None = None,
+        key_file: str | None = None,
+        authority: str | None = None,
+        patience_s: float = PATIENCE_S,
+    ) -> None:
         """Raises NoControl, NotLoopback, BadKeys or BadCertificate."""
         if control is None:
             try:
                 control, *trusted = (directory / ADDRESS).read_text().split()
             except OSError as error:
-                raise NoControl(f"{directory / ADDRESS}: {error.strerror}: nothing was started there; "
-                                "`tidebend up` does") from error
+                raise NoControl(
+                    f"{directory / ADDRESS}: {error.strerror}: nothing was started there; `tidebend up` does"
+                ) from error
             authority = authority or (trusted[0] if trusted else None)
         try:
             address = safe_place(control, authority is not None)
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -39,22 +39,33 @@
 
 
 def _parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(prog="tidebend", description="Run tasks on machines of your own.",
-                                  epilog=__doc__.partition("\n\n")[2])
+    top = argparse.ArgumentParser(
+        prog="tidebend", description="Run tasks on machines of your own.", epilog=__doc__.partition("\n\n")[2]
+    )
     commands = top.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
-    def add(name: str, text: str, run: Callable[[argparse.Namespace], int], desk: bool = True,
-            as_json: bool = True) -> argparse.ArgumentParser:
+    def add(
+        name: str, text: str, run: Callable[[argparse.Namespace], int], desk: bool = True, as_json: bool = True
+    ) -> argparse.ArgumentParser:
         parser = commands.add_parser(name, help=text, description=text)
         parser.set_defaults(run=run)
-        parser.add_argument("--data", metavar="DIR", help="the control service's directory "
-                                                          "(default: $TIDEBEND_DATA, else ~/.tidebend)")
+        parser.add_argument(
+            "--data", metavar="DIR", help="the control service's directory (default: $TIDEBEND_DATA, else ~/.tidebend)"
+        )
         if desk:
             parser.add_argument("--control", metavar="HOST:PORT", help="the control service (default: the one in DIR)")
-            parser.add_argument("--authority", metavar="FILE", help="whose certificates are trusted, for TLS "
-                                                                    "(default: as the one in DIR says)")
-            parser.add_argument("--patience", type=float, default=PATIENCE_S, metavar="S",
-                                help="how long a request is repeated that gets no answer (default: %(default)g)")
+            parser.add_argument(
+                "--authority",
+                metavar="FILE",
+                help="whose certificates are trusted, for TLS (default: as the one in DIR says)",
+            )
+            parser.add_argument(
+                "--patience",
+                type=float,
+                default=PATIENCE_S,
+                metavar="S",
+                help="how long a request is repeated that gets no answer (default: %(default)g)",
+            )
             parser.add_argument("--key", metavar="FILE", help="file of keys (default: the one in DIR)")
         if as_json:
             parser.add_argument("--json", action="store_true", help="print JSON")
@@ -78,8 +89,7 @@
     submit.add_argument("--memory-gb", type=float, default=0.25)
     submit.add_argument("--team", default="everyone")
     submit.add_argument("--priority", choices=PRIORITIES, default="normal")
-    submit.add_argument("--fresh", action="store_true",
-                        help="run in a fresh directory instead of this one (with --)")
+    submit.add_argument("--fresh", action="store_true", help="run in a fresh directory instead of this one (with --)")
     submit.add_argument("--wait", action="store_true", help="wait until all are over")
     submit.add_argument("--timeout", type=float, metavar="S", help="with --wait: at most so many seconds")
 
@@ -97,21 +107,35 @@
     cancel = add("cancel", "Cancel jobs.", _cancel)
     cancel.add_argument("jobs", nargs="+", metavar="JOB")
     agents = add("agents", "List agents.", _agents)
-    agents.add_argument("--forget", metavar="MACHINE",
-                        help="your word that this machine and all that it ran is gone for good: its tasks start "
-                             "elsewhere. Wrong, and they run twice")
+    agents.add_argument(
+        "--forget",
+        metavar="MACHINE",
+        help="your word that this machine and all that it ran is gone for good: its tasks start "
+        "elsewhere. Wrong, and they run twice",
+    )
     top_command = add("top", "Watch jobs and agents, until Ctrl-C.", _top)
     top_command.add_argument("--every", type=float, default=1.0, metavar="S")
     top_command.add_argument("--once", action="store_true", help="show it once")
 
     keys = add("keys", "Make, rotate or show keys.", _keys, desk=False)
     keys.add_argument("action", choices=["make", "rotate", "show"])
-    keys.add_argument("--overlap", type=float, default=3600.0, metavar="S",
-                      help="rotate: the keys before are accepted for so long (default: 3600)")
+    keys.add_argument(
+        "--overlap",
+        type=float,
+        default=3600.0,
+        metavar="S",
+        help="rotate: the keys before are accepted for so long (default: 3600)",
+    )
     certs = add("certs", "Make a certificate for TLS beyond loopback, or show those there are.", _certs, desk=False)
     certs.add_argument("action", choices=["make", "show"])
-    certs.add_argument("--host", action="append", default=[], dest="hosts", metavar="HOST",
-                       help="make: a name or address that it is for; may be given several times")
+    certs.add_argument(
+        "--host",
+        action="append",
+        default=[],
+        dest="hosts",
+        metavar="HOST",
+        help="make: a name or address that it is for; may be given several times",
+    )
     certs.add_argument("--name", default="server", help="make: name of its files (default: server)")
     return top
 
@@ -127,7 +151,7 @@
     command: list[str] = []
     if "--" in argv:
         at = argv.index("--")
-        argv, command = argv[:at], argv[at + 1:]
+        argv, command = argv[:at], argv[at + 1 :]
     arguments = _parser().parse_args(argv)
     arguments.words = command
     if command and arguments.command != "submit":
@@ -153,8 +177,9 @@
 
 
 def _desk(arguments: argparse.Namespace) -> Desk:
-    return Desk(data_directory(arguments.data), arguments.control, arguments.key, arguments.authority,
-                arguments.patience)
+    return Desk(
+        data_directory(arguments.data), arguments.control, arguments.key, arguments.authority, arguments.patience
+    )
 
 
 def _print(arguments: argparse.Namespace, value: Any, shown: Callable[[Any], None]) -> None:
@@ -166,6 +191,7 @@
 
 # Services: imported only by the command that runs them
 
+
 def _up(arguments: argparse.Namespace) -> int:
     from tidebend.control.bootstrap import settings_file
 
@@ -220,16 +246,28 @@
 
 # Jobs
 
+
 def _submit(arguments: argparse.Namespace) -> int:
     if bool(arguments.file) == bool(arguments.words):
         return _complain(WRONG, "submit takes a job FILE, or a command after --")
     if arguments.file:
         ready = read_jobs(arguments.file)
     else:
-        ready = [one_job(JobBlock(command=arguments.words, kind=arguments.kind, tasks=arguments.tasks,
-                                  team=arguments.team, priority=arguments.priority, cpus=arguments.cpus,
-                                  memory_gb=arguments.memory_gb,
-                                  directory=None if arguments.fresh else os.getcwd()), arguments.name)]
+        ready = [
+            one_job(
+                JobBlock(
+                    command=arguments.words,
+                    kind=arguments.kind,
+                    tasks=arguments.tasks,
+                    team=arguments.team,
+                    priority=arguments.priority,
+                    cpus=arguments.cpus,
+                    memory_gb=arguments.memory_gb,
+                    directory=None if arguments.fresh else os.getcwd(),
+                ),
+                arguments.name,
+            )
+        ]
     desk = _desk(arguments)
     rows = []
     for job in ready:
@@ -323,8 +361,10 @@
         rotate_ring(path, arguments.overlap)
     now = time.time()
     # never the secrets: what is shown ends up in terminals and logs
-    rows = [{"key": key.name, "made": key.made, "until": key.until,
-             "in_force": key.until is None or key.until > now} for key in Keyring(path).accepted()]
+    rows = [
+        {"key": key.name, "made": key.made, "until": key.until, "in_force": key.until is None or key.until > now}
+        for key in Keyring(path).accepted()
+    ]
     _print(arguments, {"file": str(path), "keys": rows}, rendering.keys)
     return FINE
 
--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -45,19 +45,46 @@
     limits: Bounds = Bounds()
 
     def spec(self, name: str) -> JobSpec:
-        return JobSpec(job_class=name, team=self.team, kind=self.kind, priority=self.priority, tasks=self.tasks,
-                       cpus=self.cpus, gpus=self.gpus, memory_gb=self.memory_gb,
-                       image=self.image or "none", image_gb=self.image_gb,
-                       types=tuple(self.machines) or None, zone=None, one_zone=False, spread=False, spot=False,
-                       estimate_s=0.0 if self.kind == "service" else self.estimate_s,
-                       checkpoint_s=self.checkpoint_s, save_s=self.save_s, deadline_s=self.deadline_s)
+        return JobSpec(
+            job_class=name,
+            team=self.team,
+            kind=self.kind,
+            priority=self.priority,
+            tasks=self.tasks,
+            cpus=self.cpus,
+            gpus=self.gpus,
+            memory_gb=self.memory_gb,
+            image=self.image or "none",
+            image_gb=self.image_gb,
+            types=tuple(self.machines) or None,
+            zone=None,
+            one_zone=False,
+            spread=False,
+            spot=False,
+            estimate_s=0.0 if self.kind == "service" else self.estimate_s,
+            checkpoint_s=self.checkpoint_s,
+            save_s=self.save_s,
+            deadline_s=self.deadline_s,
+        )
 
     def description(self) -> Description:
-        return Description(command=self.command, kind=self.kind, tasks=self.tasks, cpus=self.cpus, gpus=self.gpus,
-                           memory_gb=self.memory_gb, image=self.image, prepare=self.prepare,
-                           environment=self.environment, directory=self.directory,
-                           checkpoints=self.checkpoints, checkpoint_s=self.checkpoint_s, save_s=self.save_s,
-                           bounds=self.limits, output_kb=self.output_kb)
+        return Description(
+            command=self.command,
+            kind=self.kind,
+            tasks=self.tasks,
+            cpus=self.cpus,
+            gpus=self.gpus,
+            memory_gb=self.memory_gb,
+            image=self.image,
+            prepare=self.prepare,
+            environment=self.environment,
+            directory=self.directory,
+            checkpoints=self.checkpoints,
+            checkpoint_s=self.checkpoint_s,
+            save_s=self.save_s,
+            bounds=self.limits,
+            output_kb=self.output_kb,
+        )
 
 
 class Ready(msgspec.Struct, frozen=True):
@@ -110,8 +137,13 @@
                     raise file.error(("job", name, "after"), f"{other!r} is a service, which never is done")
             if block.directory is not None:  # a relative one is meant from where the file is
                 block = msgspec.structs.replace(block, directory=str(Path(path).parent.absolute() / block.directory))
-            ready[name] = Ready(ids[name], name, block.spec(name), block.description(),
-                                tuple(ids.get(other, other) for other in block.after))
+            ready[name] = Ready(
+                ids[name],
+                name,
+                block.spec(name),
+                block.description(),
+                tuple(ids.get(other, other) for other in block.after),
+            )
         if len(ready) == before:
             name = next(name for name in blocks if name not in ready)
             raise file.error(("job", name, "after"), "these jobs wait for each other")
--- a/tidebend/client/rendering.py
+++ b/tidebend/client/rendering.py
@@ -54,8 +54,15 @@
     table = _table("job", "state", "kind", "done", "running", "tasks", "command")
     for row in rows:
         command = shlex.join(row.get("command", []))
-        table.add_row(row["job"], _state(row["state"]), row["kind"], str(row["done"]), str(row["running"]),
-                      str(row["tasks"]), Text(command if len(command) < 60 else command[:57] + "..."))
+        table.add_row(
+            row["job"],
+            _state(row["state"]),
+            row["kind"],
+            str(row["done"]),
+            str(row["running"]),
+            str(row["tasks"]),
+            Text(command if len(command) < 60 else command[:57] + "..."),
+        )
     return table
 
 
@@ -77,8 +84,15 @@
     table = _table("machine", "type", "label", "started", "heard", "session", "tasks")
     for row in rows:
         heard = "not yet" if row["heard_s_ago"] is None else f"{row['heard_s_ago']:.1f} s ago"
-        table.add_row(row["machine"], row["kind"], row["label"], "here" if row["here"] else "elsewhere", heard,
-                      str(row["session"]), str(row["tasks"]))
+        table.add_row(
+            row["machine"],
+            row["kind"],
+            row["label"],
+            "here" if row["here"] else "elsewhere",
+            heard,
+            str(row["session"]),
+            str(row["tasks"]),
+        )
     return table
 
 
@@ -141,8 +155,16 @@
         yield lambda _: None
         return
     bars: dict[str, Any] = {}
-    with Progress(TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(),
-                  TextColumn("{task.fields[state]}"), TimeElapsedColumn(), console=console, transient=True) as shown:
+    with Progress(
+        TextColumn("{task.description}"),
+        BarColumn(),
+        MofNCompleteColumn(),
+        TextColumn("{task.fields[state]}"),
+        TimeElapsedColumn(),
+        console=console,
+        transient=True,
+    ) as shown:
+
         def update(rows: list[dict[str, Any]]) -> None:
             for row in rows:
                 if row["job"] not in bars:
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -31,6 +31,8 @@
 
 
 def unpack_claims(groups: list[list[Any]]) -> tuple[Claim, ...]:
-    return tuple(Claim(machine, session, attempt, from_text(tasks), at, zone)
-                 for session, attempt, at, zone, rows in groups
-                 for machine, tasks in zip(rows[::2], rows[1::2], strict=True))
+    return tuple(
+        Claim(machine, session, attempt, from_text(tasks), at, zone)
+        for session, attempt, at, zone, rows in groups
+        for machine, tasks in zip(rows[::2], rows[1::2], strict=True)
+    )
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -63,10 +63,10 @@
 
     def on_change(self, key: str, value: Any, version: int) -> None:
         if key.startswith(JOB) or key.startswith(HEAD):
-            name = key[len(JOB):] if key.startswith(JOB) else key[len(HEAD):]
+            name = key[len(JOB) :] if key.startswith(JOB) else key[len(HEAD) :]
             self._head_changed(name, key, value, version)
         elif key.startswith(PART):
-            name, _, number = key[len(PART):].rpartition("/")
+            name, _, number = key[len(PART) :].rpartition("/")
             parts = self._parts.setdefault(name, {})
             if value is None:
                 parts.pop(int(number), None)
@@ -78,7 +78,7 @@
                 self._derive(name)
         elif key.startswith(FINAL):
             if value is not None:
-                self.remember_final(key[len(FINAL):], value)
+                self.remember_final(key[len(FINAL) :], value)
         else:
             self._accounts.on_change(key, value, version)
 
@@ -124,8 +124,9 @@
             if head is not None:
                 if head.parts:
                     size = head.parts.size
-                    head = head.assembled({number: record.part(number * size)
-                                           for number, record in self._parts.get(name, {}).items()})
+                    head = head.assembled(
+                        {number: record.part(number * size) for number, record in self._parts.get(name, {}).items()}
+                    )
                 if head.awaits:
                     outcomes = [self._outcome(other) for other in head.awaits]
                     if any(outcome is not None and outcome[0] == CANCELLED for outcome in outcomes):
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -127,10 +127,21 @@
 
     @staticmethod
     def unpack(name: str, value: dict[str, Any], version: int) -> Job:
-        return Job(name, version, JobSpec.unpack(value["spec"]), value["at"], bool(value.get("cancelled")),
-                   value.get("started", 0), value.get("ended", 0), from_text(value.get("done", "")),
-                   unpack_claims(value.get("claims", ())), tuple(value.get("awaits", ())), value.get("ready"),
-                   bool(value.get("awaits")), Parts.unpack(value["parts"]) if "parts" in value else None)
+        return Job(
+            name,
+            version,
+            JobSpec.unpack(value["spec"]),
+            value["at"],
+            bool(value.get("cancelled")),
+            value.get("started", 0),
+            value.get("ended", 0),
+            from_text(value.get("done", "")),
+            unpack_claims(value.get("claims", ())),
+            tuple(value.get("awaits", ())),
+            value.get("ready"),
+            bool(value.get("awaits")),
+            Parts.unpack(value["parts"]) if "parts" in value else None,
+        )
 
     # In parts
 
@@ -147,9 +158,14 @@
         for _, part in rows:
             done |= part.done
             claims += part.claims
-        return replace(self, parts=replace(parts, rows=rows), done=done & self.all_tasks, claims=claims,
-                       started=max([parts.started, *(part.started for _, part in rows)]),
-                       ended=parts.ended + sum(part.ended for _, part in rows))
+        return replace(
+            self,
+            parts=replace(parts, rows=rows),
+            done=done & self.all_tasks,
+            claims=claims,
+            started=max([parts.started, *(part.started for _, part in rows)]),
+            ended=parts.ended + sum(part.ended for _, part in rows),
+        )
 
     def touched(self, before: Job) -> list[int]:
         """The parts in which claims or done tasks differ."""
@@ -166,8 +182,10 @@
         old = dict(before.parts.rows).get(number, Part()) if before.parts else Part()
         claims = clipped(self.claims, mask)
         left = {(claim.machine, claim.session, claim.attempt): claim.tasks for claim in claims}
-        gone = sum((claim.tasks & ~left.get((claim.machine, claim.session, claim.attempt), 0)).bit_count()
-                   for claim in old.claims)
+        gone = sum(
+            (claim.tasks & ~left.get((claim.machine, claim.session, claim.attempt), 0)).bit_count()
+            for claim in old.claims
+        )
         started = max([old.started, *(claim.attempt for claim in claims)])
         return Part(old.version, started, old.ended + gone, self.done & mask, claims)
 
@@ -182,8 +200,14 @@
         assert parts is not None
         bits = sum(1 << number for number in numbers)
         gone = [part for number, part in parts.rows if number in numbers]
-        return replace(self, parts=replace(
-            parts, opened=parts.opened & ~bits, closed=parts.closed | bits,
-            ended=parts.ended + sum(part.ended for part in gone),
-            started=max([parts.started, *(part.started for part in gone)]),
-            rows=tuple(row for row in parts.rows if row[0] not in numbers)))
+        return replace(
+            self,
+            parts=replace(
+                parts,
+                opened=parts.opened & ~bits,
+                closed=parts.closed | bits,
+                ended=parts.ended + sum(part.ended for part in gone),
+                started=max([parts.started, *(part.started for part in gone)]),
+                rows=tuple(row for row in parts.rows if row[0] not in numbers),
+            ),
+        )
--- a/tidebend/cluster_state/machine_registry.py
+++ b/tidebend/cluster_state/machine_registry.py
@@ -108,7 +108,8 @@
         knows the attempt, or once it has seen a higher token. What is done only ends again if it is started again.
         """
         return self.can_no_longer_start(key) and (
-            self.tasks[key].why == "done" or self.direct.get(key, -1) < self.token)
+            self.tasks[key].why == "done" or self.direct.get(key, -1) < self.token
+        )
 
     def uses_image(self, image: str, gb: float, cache_gb: float) -> None:
         self.images[image] = gb
@@ -173,9 +174,13 @@
     A cancelled job stays cancelled, whoever holds the block by now, so that they are safe with every token that the
     worker still takes: also while our own lease has run out and nothing else may be commanded.
     """
-    return [Command("stop", job.id, index, claim.attempt, 0.0) for job, claim in claims
-            if job.cancelled and claim.session == machine.session for index in members(claim.tasks)
-            if (task := machine.tasks.get((job.id, index, claim.attempt))) is not None and task.state != "ended"]
+    return [
+        Command("stop", job.id, index, claim.attempt, 0.0)
+        for job, claim in claims
+        if job.cancelled and claim.session == machine.session
+        for index in members(claim.tasks)
+        if (task := machine.tasks.get((job.id, index, claim.attempt))) is not None and task.state != "ended"
+    ]
 
 
 def orders(machine: Machine, claims: list, token: int, direct: bool) -> list[Command]:
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -47,8 +47,14 @@
 
     @staticmethod
     def unpack(value: dict[str, Any], version: int, first: int) -> Part:
-        return Part(version, value["started"], value["ended"], from_text(value.get("done", "")) << first,
-                    tuple(moved(unpack_claims(value.get("claims", ())), first)), value.get("source", 0))
+        return Part(
+            version,
+            value["started"],
+            value["ended"],
+            from_text(value.get("done", "")) << first,
+            tuple(moved(unpack_claims(value.get("claims", ())), first)),
+            value.get("source", 0),
+        )
 
 
 def moved(claims: Iterable[Claim], by: int) -> Iterable[Claim]:
@@ -58,8 +64,7 @@
 
 
 def clipped(claims: Iterable[Claim], mask: int) -> tuple[Claim, ...]:
-    return tuple(Claim(c.machine, c.session, c.attempt, c.tasks & mask, c.at, c.zone)
-                 for c in claims if c.tasks & mask)
+    return tuple(Claim(c.machine, c.session, c.attempt, c.tasks & mask, c.at, c.zone) for c in claims if c.tasks & mask)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -37,8 +37,15 @@
 
 
 class Desk:
-    def __init__(self, engine: Engine, controller: Controller, provider: Provider, terms: Callable[[str], Joined],
-                 connect: Callable[[tuple[str, int]], KeyedClient], gang_peer_s: float) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        controller: Controller,
+        provider: Provider,
+        terms: Callable[[str], Joined],
+        connect: Callable[[tuple[str, int]], KeyedClient],
+        gang_peer_s: float,
+    ) -> None:
         """`terms` gives what a machine of a name and type is told when it joins."""
         self._engine = engine
         self._controller = controller
@@ -49,7 +56,7 @@
 
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         path, _, query = path.partition("?")
-        table, _, rest = path[len(paths.DESK):].partition("/")
+        table, _, rest = path[len(paths.DESK) :].partition("/")
         arguments = {key: values[-1] for key, values in parse_qs(query, max_num_fields=16).items()}
         try:
             match method, table, bool(rest):
@@ -113,13 +120,13 @@
         rows, more, _ = self._engine.items(DESCRIPTION, DESCRIPTION + arguments.get("after", ""), most, 1 << 20)
         found = []
         for row in rows:
-            job = row.key[len(DESCRIPTION):]
+            job = row.key[len(DESCRIPTION) :]
             reply = self._controller.users.poll(job)
             if reply.status == 503:
                 return reply
             if reply.status == 200:  # a description may be there before its job, or without one
                 found.append(self._row(job, reply.body, row.value))
-        last = rows[-1].key[len(DESCRIPTION):] if rows else ""
+        last = rows[-1].key[len(DESCRIPTION) :] if rows else ""
         return Reply(200, {"jobs": found, "more": more, "last": last})
 
     def _job(self, job: str) -> Reply:
@@ -139,9 +146,15 @@
     def _row(job: str, body: dict[str, Any], description: dict[str, Any]) -> dict[str, Any]:
         state = users_words.state(body)
         tasks = description.get("tasks", 1)
-        return {"job": job, "state": state, "kind": description.get("kind", "array"), "tasks": tasks,
-                "done": tasks if state == "done" else body.get("done", 0), "running": body.get("running", 0),
-                "command": description.get("command", [])}
+        return {
+            "job": job,
+            "state": state,
+            "kind": description.get("kind", "array"),
+            "tasks": tasks,
+            "done": tasks if state == "done" else body.get("done", 0),
+            "running": body.get("running", 0),
+            "command": description.get("command", []),
+        }
 
     # Outputs
 
@@ -153,7 +166,7 @@
         job, index = match["job"], int(match["index"] or 0)
         under = f"{RAN}{job}/"
         rows, _, _ = self._engine.items(under, under, 1000, 1 << 20)
-        machines = [row.key[len(under):] for row in rows]
+        machines = [row.key[len(under) :] for row in rows]
         if not machines and self._engine.get(DESCRIPTION + job)[0] is None:
             return Reply(404, {"error": f"no job {job}"})
         newest: dict[str, Any] | None = None
@@ -192,9 +205,18 @@
                 heard = round(now - known.heard, 1) if known else None
                 tasks = [task for task in known.tasks.values() if task.state != "ended"] if known else []
                 session, address = (known.session, known.address) if known else (0, None)
-            rows.append({"machine": name, "kind": machine.kind, "label": machine.label, "here": machine.here,
-                         "heard_s_ago": heard, "session": session, "tasks": len(tasks),
-                         "address": f"{address[0]}:{address[1]}" if address else None})
+            rows.append(
+                {
+                    "machine": name,
+                    "kind": machine.kind,
+                    "label": machine.label,
+                    "here": machine.here,
+                    "heard_s_ago": heard,
+                    "session": session,
+                    "tasks": len(tasks),
+                    "address": f"{address[0]}:{address[1]}" if address else None,
+                }
+            )
         return rows
 
     def _join(self, raw: bytes) -> Reply:
--- a/tidebend/control/gang_barrier.py
+++ b/tidebend/control/gang_barrier.py
@@ -29,8 +29,9 @@
 
 
 class Musters:
-    def __init__(self, gang_peer_s: float, is_done: Callable[[str, int], bool],
-                 record_done: Callable[[str, int], None]) -> None:
+    def __init__(
+        self, gang_peer_s: float, is_done: Callable[[str, int], bool], record_done: Callable[[str, int], None]
+    ) -> None:
         """`record_done` returns once it is durable, or raises; `is_done` looks it up."""
         self._peer_s = gang_peer_s
         self._is_done = is_done
@@ -64,8 +65,11 @@
         # Guards against a task that waits for ever: its mates were lost together with the process that knew them, so
         # that nobody tells of them any more.
         missing = len(gang.phases) < gang.tasks and now - gang.since > self._peer_s
-        if gang.begun and (missing or any(phase == "lost" for phase in phases)
-                           or any(now - gang.heard[index] > self._peer_s for index in there)):
+        if gang.begun and (
+            missing
+            or any(phase == "lost" for phase in phases)
+            or any(now - gang.heard[index] > self._peer_s for index in there)
+        ):
             gang.gone = True
         if gang.gone and told.phase != "lost":
             return "mates_gone"
@@ -77,6 +81,9 @@
         return "wait"
 
     def _forget(self, now: float) -> None:
-        for key in [key for key, gang in self._gangs.items()
-                    if now - max(gang.heard.values(), default=now) > FORGET_AFTER * self._peer_s]:
+        for key in [
+            key
+            for key, gang in self._gangs.items()
+            if now - max(gang.heard.values(), default=now) > FORGET_AFTER * self._peer_s
+        ]:
             del self._gangs[key]
