--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -53,27 +53,42 @@
         self.ring = Keyring(keys)
         self._tls = settings.tls.client() if settings.tls else None
         state = settings.state
-        limits = Limits(state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024),
-                        state.changes_a_transaction)
+        limits = Limits(
+            state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
+        )
         self.state = StateService(self.engine, limits)
         self.gate = self._gate(self._place(), lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}))
         host, port = self.gate.server_address[:2]
         self.address = f"{host}:{port}"
         own = settings.controller(port, host)
-        processes = AgentProcesses(directory / AGENTS, self.address, keys.absolute(), settings.agents_alone_leases,
-                                   settings.tls)
-        self.provider = Provider(self.engine, settings.zone, settings.machines, processes, self._connect,
-                                 lambda name: self.desk.address_of(name))
+        processes = AgentProcesses(
+            directory / AGENTS, self.address, keys.absolute(), settings.agents_alone_leases, settings.tls
+        )
+        self.provider = Provider(
+            self.engine,
+            settings.zone,
+            settings.machines,
+            processes,
+            self._connect,
+            lambda name: self.desk.address_of(name),
+        )
         self.controller = Controller(own, self._connector(own.state, own.cloud))
-        self.desk = Desk(self.engine, self.controller, self.provider, self._terms, self._connect,
-                         settings.times.gang_peer_s)
+        self.desk = Desk(
+            self.engine, self.controller, self.provider, self._terms, self._connect, settings.times.gang_peer_s
+        )
         self.gates = [self.gate]
         if state.listen:
             self.gates.append(self._gate(place(state.listen), self._state_route))
         if settings.metrics_listen:
             metrics = Metrics(self.engine, self.controller, self.provider, self.gate)
-            self.gates.append(self._gate(place(settings.metrics_listen), lambda method, path, _: (
-                metrics.answer() if (method, path) == ("GET", PATH) else Reply(404, {"error": "no such path"}))))
+            self.gates.append(
+                self._gate(
+                    place(settings.metrics_listen),
+                    lambda method, path, _: (
+                        metrics.answer() if (method, path) == ("GET", PATH) else Reply(404, {"error": "no such path"})
+                    ),
+                )
+            )
 
     def _place(self) -> tuple[str, int]:
         """Where to listen: as set, else where we were before, so that agents which outlived us find us again."""
@@ -87,11 +102,19 @@
 
     def _gate(self, address: tuple[str, int], route: Callable[..., Reply]) -> Gate:
         try:
-            return Gate(address, route, self.ring, 2.0 * self.settings.times.lease_s, BODY_S,
-                        self.settings.connections, self.settings.tls.server() if self.settings.tls else None)
+            return Gate(
+                address,
+                route,
+                self.ring,
+                2.0 * self.settings.times.lease_s,
+                BODY_S,
+                self.settings.connections,
+                self.settings.tls.server() if self.settings.tls else None,
+            )
         except (OSError, socket.gaierror) as error:
-            raise PortTaken(f"{address[0]}:{address[1]}: {error.strerror or error}; set another `listen`, or 0 for a "
-                            "free port") from error
+            raise PortTaken(
+                f"{address[0]}:{address[1]}: {error.strerror or error}; set another `listen`, or 0 for a free port"
+            ) from error
 
     def _connect(self, address: tuple[str, int], keep: int = 1) -> KeyedClient:
         return KeyedClient(address, self.ring.shown, keep, self._tls)
@@ -107,8 +130,18 @@
 
     def _terms(self, kind: str) -> Joined:
         times, amounts = self.settings.times, self.provider.terms(kind)
-        return Joined("", self.settings.zone, times.report_s, times.lease_s, times.gang_wait_s, times.gang_peer_s,
-                      amounts.cpus, amounts.gpus, amounts.memory_gb, {CONTROLLER: self.address})
+        return Joined(
+            "",
+            self.settings.zone,
+            times.report_s,
+            times.lease_s,
+            times.gang_wait_s,
+            times.gang_peer_s,
+            amounts.cpus,
+            amounts.gpus,
+            amounts.memory_gb,
+            {CONTROLLER: self.address},
+        )
 
     def _route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         if path.startswith(paths.DESK):
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -47,8 +47,9 @@
 
         now = time.monotonic()
         tasks: Counter[str] = Counter()
-        silent = GaugeMetricFamily("tidebend_machine_silent_seconds", "Since a machine last reported.",
-                                   labels=["machine", "type"])
+        silent = GaugeMetricFamily(
+            "tidebend_machine_silent_seconds", "Since a machine last reported.", labels=["machine", "type"]
+        )
         heard = {machine.name: machine for machine in self._controller.fleet.all()}
         machines = self._provider.machines()
         for name, machine in sorted(machines.items()):
@@ -64,11 +65,15 @@
         yield states
 
         yield CounterMetricFamily("tidebend_state_revision", "Revision of the state.", self._engine.feed.revision)
-        yield CounterMetricFamily("tidebend_state_syncs", "Syncs of the state's file since the start.",
-                                  self._engine.syncs)
-        yield GaugeMetricFamily("tidebend_state_refusing", "1 while the disk refuses changes.",
-                                float(self._engine.failing is not None))
-        yield CounterMetricFamily("tidebend_turned_away", "Requests without a good key since the start.",
-                                  self._gate.refused)
-        yield GaugeMetricFamily("tidebend_leads", "1 while the controller leads.",
-                                float(self._controller.coordinator.term is not None))
+        yield CounterMetricFamily(
+            "tidebend_state_syncs", "Syncs of the state's file since the start.", self._engine.syncs
+        )
+        yield GaugeMetricFamily(
+            "tidebend_state_refusing", "1 while the disk refuses changes.", float(self._engine.failing is not None)
+        )
+        yield CounterMetricFamily(
+            "tidebend_turned_away", "Requests without a good key since the start.", self._gate.refused
+        )
+        yield GaugeMetricFamily(
+            "tidebend_leads", "1 while the controller leads.", float(self._controller.coordinator.term is not None)
+        )
--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -38,8 +38,10 @@
             return "lease_s", f"expected at least four times report_s ({4 * self.report_s:g})"
         least = 1.5 * self.lease_s + 2 * self.report_s
         if self.cancel_s < least:
-            return "cancel_s", f"expected at least 1.5 lease_s and 2 report_s ({least:g}): a silent agent's tasks " \
-                               "end no sooner"
+            return (
+                "cancel_s",
+                f"expected at least 1.5 lease_s and 2 report_s ({least:g}): a silent agent's tasks end no sooner",
+            )
         return None
 
 
@@ -79,17 +81,30 @@
         """The settings of the controller in this process, in the platform's terms."""
         own = f"{host}:{port}"
         table = {
-            "member": CONTROLLER, "site": self.zone, "serve_on": own, "peer_bind": own, "peers": [],
+            "member": CONTROLLER,
+            "site": self.zone,
+            "serve_on": own,
+            "peer_bind": own,
+            "peers": [],
             # never connected to: both are in this process
             "outside": {"state": "inside:1", "cloud": "inside:2"},
             "deployment": {
-                "size": 1, "zones": [self.zone], "clock_off_ms": 0.0,
+                "size": 1,
+                "zones": [self.zone],
+                "clock_off_ms": 0.0,
                 "teams": [{"name": name, **msgspec.structs.asdict(team)} for name, team in self.teams.items()],
                 "workers": msgspec.structs.asdict(self.times),
-                "state": {"rps": self.state.requests_per_s, "write_rps": self.state.changes_per_s,
-                          "value_kb": self.state.value_kb, "txn_ops": self.state.changes_a_transaction},
-                "objectives": [], "cloud": {"rps": 20.0, "list_lag_s": 0.5},
-                "resources": {"max_sockets": self.connections}}}
+                "state": {
+                    "rps": self.state.requests_per_s,
+                    "write_rps": self.state.changes_per_s,
+                    "value_kb": self.state.value_kb,
+                    "txn_ops": self.state.changes_a_transaction,
+                },
+                "objectives": [],
+                "cloud": {"rps": 20.0, "list_lag_s": 0.5},
+                "resources": {"max_sockets": self.connections},
+            },
+        }
         # a machine boots in a second by what the provider says, so this many of these are kept; and changes of the
         # state are cheap here, so that ends needn't be gathered for long
         return read_settings(table, Knobs(keep_idle=self.keep_idle_s, gather=GATHER))
@@ -118,8 +133,11 @@
         raise file.error(("times", wrong[0]), wrong[1])
     state = file.block("state", State)
     tls = file.block("tls", Tls) if "tls" in file.values else None
-    for where, text in ((("listen",), top.listen), (("metrics_listen",), top.metrics_listen or "127.0.0.1:0"),
-                        (("state", "listen"), state.listen or "127.0.0.1:0")):
+    for where, text in (
+        (("listen",), top.listen),
+        (("metrics_listen",), top.metrics_listen or "127.0.0.1:0"),
+        (("state", "listen"), state.listen or "127.0.0.1:0"),
+    ):
         try:
             safe_place(text, tls is not None)
         except (ValueError, NotLoopback) as error:
@@ -133,5 +151,6 @@
             msgspec.convert(label, Name)
         except msgspec.ValidationError as error:
             raise file.error(("machine" if label in machines else "team", label), str(error)) from error
-    return ControlSettings(**msgspec.structs.asdict(top), times=times, state=state, machines=machines, teams=teams,
-                           tls=tls)
+    return ControlSettings(
+        **msgspec.structs.asdict(top), times=times, state=state, machines=machines, teams=teams, tls=tls
+    )
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -50,8 +50,17 @@
 
 
 class Users:
-    def __init__(self, settings: Settings, state: StateClient, mirror: Mirror, book: JobBook, ledger: Ledger,
-                 formats: Formats, types: Callable[[], dict[str, MachineType]], wake: Callable[[], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        state: StateClient,
+        mirror: Mirror,
+        book: JobBook,
+        ledger: Ledger,
+        formats: Formats,
+        types: Callable[[], dict[str, MachineType]],
+        wake: Callable[[], None],
+    ) -> None:
         self.settings = settings
         self.state = state
         self.mirror = mirror
@@ -76,8 +85,9 @@
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
         running = job.running
-        return Reply(200, protocol.job_answer(job.id, "running" if running else "queued", job.done.bit_count(),
-                                              running))
+        return Reply(
+            200, protocol.job_answer(job.id, "running" if running else "queued", job.done.bit_count(), running)
+        )
 
     def find(self, name: str) -> Reply | None:
         """The job's state by a read begun after this call (finals by the cache); None: never submitted."""
@@ -147,8 +157,11 @@
             job = self.ledger.sizes.new_job(Job(name, 0, spec, came, awaits=awaits))
             if awaits and packed_bytes(awaits) > AWAITS_SHARE * self.ledger.sizes.value_bytes:
                 return self._refused(name, 400, "awaits names more jobs than a record holds")
-            never = (self._undecidable(spec) or (self.formats.pipelines and self.ledger.sizes.never_fits(job))
-                     or self._never_accepted(awaits))
+            never = (
+                self._undecidable(spec)
+                or (self.formats.pipelines and self.ledger.sizes.never_fits(job))
+                or self._never_accepted(awaits)
+            )
             if never:
                 return self._refused(name, 422, never)
             value = job.pack()
--- a/tidebend/controller/autoscaling/rentals.py
+++ b/tidebend/controller/autoscaling/rentals.py
@@ -74,9 +74,18 @@
 
 
 class Rentals:
-    def __init__(self, settings: Settings, coordinator: Coordinator, link: PeerLink, book: JobBook, fleet: Fleet,
-                 ledger: Ledger, planner: Planner, witness: Witness,
-                 connect: Callable[..., HttpClient] = HttpClient) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        link: PeerLink,
+        book: JobBook,
+        fleet: Fleet,
+        ledger: Ledger,
+        planner: Planner,
+        witness: Witness,
+        connect: Callable[..., HttpClient] = HttpClient,
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.link = link
@@ -152,6 +161,7 @@
 
     def _bury(self, names: set[str]) -> None:
         """The cloud has confirmed that machines are gone, and with them all that they ran or might have started."""
+
         def edit(job: Job, _: Usage) -> Job:
             return job.without(job.places(names), 0)
 
@@ -188,8 +198,9 @@
         if now - self._guarded_at > self._guard_pause_s + SENT_ON_S:
             self._turned_since.clear()  # we stood still, or are behind: nobody was heard for that reason
         self._guarded_at = now
-        foreign = [m.name for m in self.fleet.all() if block_of(m.zone) not in grants
-                   and now - m.heard > self.settings.lease_s]
+        foreign = [
+            m.name for m in self.fleet.all() if block_of(m.zone) not in grants and now - m.heard > self.settings.lease_s
+        ]
         self.fleet.drop(foreign)
         self.witness.look()
         self._look_for_cancelled(now)
@@ -206,20 +217,26 @@
                 for claim in job.claims:
                     if block_of(claim.zone) == block and claim.machine not in known:
                         unseen[claim.machine] = grant.held
-            silent = {m.name: since for m in own
-                      if now - (since := self._silent_since(m, grant.held)) > self.planner.places.suspect_s}
+            silent = {
+                m.name: since
+                for m in own
+                if now - (since := self._silent_since(m, grant.held)) > self.planner.places.suspect_s
+            }
             # asked directly before they are given up: a worker may be on its way to us from a dead controller
-            self.planner.send({m.name for m in own
-                               if now - max(m.heard, m.answered) > 0.6 * self.planner.places.suspect_s})
-            silent.update({name: since for name, since in unseen.items()
-                           if now - since > self.planner.places.suspect_s})
+            self.planner.send(
+                {m.name for m in own if now - max(m.heard, m.answered) > 0.6 * self.planner.places.suspect_s}
+            )
+            silent.update(
+                {name: since for name, since in unseen.items() if now - since > self.planner.places.suspect_s}
+            )
             until = self._left_alone_until(block)
             if until is not None and until > grant.held:
                 # asked by all, and heard by none: no silence of our own need be waited for
                 silent |= {m.name: grant.held for m in own if m.heard <= grant.held} | unseen
             total = len(own) + len(unseen)
-            if self.settings.peers and ((silent and len(silent) == total)
-                                        or self._turned_away(block, own, grant.held, now)):
+            if self.settings.peers and (
+                (silent and len(silent) == total) or self._turned_away(block, own, grant.held, now)
+            ):
                 self.coordinator.unheard(block, total, 2.0 * self.settings.lease_s)
             self._silent(block, silent, total, now)
             spare += self._idle(own, now)
@@ -234,8 +251,9 @@
             return
         # what was cancelled by our first read may have been so for any time
         before, first = (self._cancelled, now) if self._cancelled is not None else ({}, -math.inf)
-        self._cancelled = {job.id: before.get(job.id, first) for job in self.book.live()
-                           if job.cancelled and job.claims}
+        self._cancelled = {
+            job.id: before.get(job.id, first) for job in self.book.live() if job.cancelled and job.claims
+        }
 
     def _release_overdue(self, told: set[str], now: float) -> None:
         """Machines that hold what was cancelled long ago and that don't answer, with or without a lease of ours.
@@ -251,9 +269,13 @@
         with self.fleet.lock:
             last = {m.name: max(m.heard, m.answered) for m in self.fleet.machines.values()}
             gone = told | self.fleet.gone.keys()  # their claims wait for the state service
-        overdue = {claim.machine: claim.zone for job in self.book.live() if self._long_cancelled(job, now)
-                   for claim in job.claims if claim.machine not in gone
-                   and now - last.get(claim.machine, -math.inf) > 2.0 * self.settings.report_s}
+        overdue = {
+            claim.machine: claim.zone
+            for job in self.book.live()
+            if self._long_cancelled(job, now)
+            for claim in job.claims
+            if claim.machine not in gone and now - last.get(claim.machine, -math.inf) > 2.0 * self.settings.report_s
+        }
         self._asked = {name: asked for name, asked in self._asked.items() if name in overdue}
         addresses = self.witness.addresses() if overdue else {}
         # few at a time: those who ask whether a zone is lost must not wait behind them
@@ -269,7 +291,7 @@
             elif not asked or asked[-1].mute or asked[-1].answered:
                 if name in addresses and open_ < SAMPLE:
                     open_ += 1
-                    asked[:] = [*asked[1 - TRIES:], self.witness.ask(addresses[name][1])]
+                    asked[:] = [*asked[1 - TRIES :], self.witness.ask(addresses[name][1])]
                 elif name not in addresses and block in grants:
                     # whoever knows it hasn't told us, and it would have come to us by now
                     asked[:] = [Round(1, mute=1)] * TRIES
@@ -291,8 +313,12 @@
         when each of them was suspect by itself, the leases of some ran out.
         """
         heard = max((m.heard for m in own), default=granted)
-        if (len(own) < FEW_MACHINES or heard <= granted or self.link.came(block) <= heard
-                or now - heard <= QUIET_REPORTS * self.settings.report_s):
+        if (
+            len(own) < FEW_MACHINES
+            or heard <= granted
+            or self.link.came(block) <= heard
+            or now - heard <= QUIET_REPORTS * self.settings.report_s
+        ):
             self._turned_since.pop(block, None)
             return False
         return now - self._turned_since.setdefault(block, now) > SENT_ON_S
@@ -340,8 +366,9 @@
         # the last answered report was sent up to a report's interval before, and a lease counts from there
         end = until + self.settings.lease_s - 1.25 * self.settings.report_s
         hold = Hold(until - MOVE_AHEAD * self.settings.staleness_bound_s, until, end)
-        doomed = [name for name, since in silent.items()
-                  if now - since > self.settings.lease_s and self._any_cancelled(name)]
+        doomed = [
+            name for name, since in silent.items() if now - since > self.settings.lease_s and self._any_cancelled(name)
+        ]
         if now >= self._leave_at:
             self._leave_at = now + self._leave_pause_s
             doomed += leave([self._standing(name, now) for name in silent], hold, now, self._leave_pause_s)
@@ -366,8 +393,13 @@
         jobs = [job for job, _ in self.book.on_machine(name)]
         if not jobs or any(job.spec.kind != "gang" for job in jobs):
             return 0.0
-        return max(min((self._replacement_s(kind, job.spec.image_gb) for kind in self.types.values()
-                        if kind.fits(job.spec)), default=0.0) for job in jobs)
+        return max(
+            min(
+                (self._replacement_s(kind, job.spec.image_gb) for kind in self.types.values() if kind.fits(job.spec)),
+                default=0.0,
+            )
+            for job in jobs
+        )
 
     def _replacement_s(self, kind: MachineType, image_gb: float) -> float:
         """What a machine is worth waiting for, by what another would need to be as useful: boot and image."""
@@ -381,8 +413,13 @@
             elif machine.idle_since is None:
                 machine.idle_since = now
         # tasks that have ended may be kept on a machine, see `Machine.may_be_cleared`
-        idle = [m for m in own if m.idle_since is not None and not self.book.on_machine(m.name)
-                and all(task.state == "ended" for task in m.tasks.values())]
+        idle = [
+            m
+            for m in own
+            if m.idle_since is not None
+            and not self.book.on_machine(m.name)
+            and all(task.state == "ended" for task in m.tasks.values())
+        ]
         doomed = []
         ordinary = [m for m in own if not m.spot and not m.draining]
         for machine in idle:
@@ -541,8 +578,14 @@
             capacities.append(Capacity(kind, known.zone, known.spot, tuple(free), ready, returns))
         wants = [want for want in (self.planner.waiting.want(job, now, clock) for job in self.book.live()) if want]
         wants += self.planner.waiting.soon(now, clock)
-        offers = [Offer(kind, zone, spot) for kind in self.types.values() for zone in kind.zones if zone not in cut
-                  for spot in (True, False) if self._shortage.get(Offer(kind, zone, spot), 0.0) < now]
+        offers = [
+            Offer(kind, zone, spot)
+            for kind in self.types.values()
+            for zone in kind.zones
+            if zone not in cut
+            for spot in (True, False)
+            if self._shortage.get(Offer(kind, zone, spot), 0.0) < now
+        ]
         rank: dict[str, int] = {}
         for capacity in capacities:
             rank[capacity.zone] = rank.get(capacity.zone, 0) + 1
@@ -564,8 +607,9 @@
         # same term after our lease was in doubt: so the name can't be used again.
         name = f"tidebend-{term}-{self._counter}"
         now = time.monotonic()
-        answer = self._call("POST", protocol.PATH_RENT,
-                            protocol.rent(name, offer.type.name, offer.zone, offer.spot, machines))
+        answer = self._call(
+            "POST", protocol.PATH_RENT, protocol.rent(name, offer.type.name, offer.zone, offer.spot, machines)
+        )
         if answer is None:
             return  # may have been executed: such machines show up in the list
         status, body = answer
@@ -573,8 +617,14 @@
             names = protocol.parse_rented(body)
             for machine in names:
                 self._known[machine] = Rented(offer.type.name, offer.zone, offer.spot, now)
-            log.info("rented %d of %d %s in %s%s", len(names), machines, offer.type.name, offer.zone,
-                     " (spot)" if offer.spot else "")
+            log.info(
+                "rented %d of %d %s in %s%s",
+                len(names),
+                machines,
+                offer.type.name,
+                offer.zone,
+                " (spot)" if offer.spot else "",
+            )
             if len(names) < machines:
                 self._refused(offer, now)
             else:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -42,13 +42,19 @@
         self.settings = settings
         self._patient_until = time.monotonic() + FIRST_READ * settings.controller_lease_s
         lock = threading.RLock()
-        self.state = StateClient(settings.state, settings.state_limits, settings.controllers,
-                                 max(0.6, settings.controller_lease_s / 4.0), connect)
+        self.state = StateClient(
+            settings.state,
+            settings.state_limits,
+            settings.controllers,
+            max(0.6, settings.controller_lease_s / 4.0),
+            connect,
+        )
         self.book = JobBook(lock, KEEP_FINALS)
         # A watch that hangs unnoticed keeps the cache old for its whole time, so it waits for no longer than until our
         # lease is renewed again: no more requests than the renewals make.
-        self.mirror = Mirror(self.state, self._changed, lock, watch_s=settings.controller_lease_s / 4.0,
-                             retry_s=0.1 * settings.lease_s)
+        self.mirror = Mirror(
+            self.state, self._changed, lock, watch_s=settings.controller_lease_s / 4.0, retry_s=0.1 * settings.lease_s
+        )
         self.fleet = Fleet()
         self.dispatcher = Dispatcher(settings, self.book, self.fleet, lambda: self.planner.wake(), connect)
         self.formats = Formats(settings, self.state, self.mirror)
@@ -56,20 +62,39 @@
         self.shares = ShareMoves(settings, self.mirror, self.book, self.formats, self.coordinator.held_zones)
         self.sizes = Sizes(settings.state_limits, self.formats, self.state.writes_per_s)
         self.ledger = Ledger(self.mirror, self.book, self.shares, self.sizes)
-        self.planner = Planner(settings, self.coordinator, self.book, self.fleet, self.ledger, self.shares,
-                               self._types, self.dispatcher.send)
+        self.planner = Planner(
+            settings,
+            self.coordinator,
+            self.book,
+            self.fleet,
+            self.ledger,
+            self.shares,
+            self._types,
+            self.dispatcher.send,
+        )
         self.link = PeerLink(settings, self.news, self.coordinator.told)
         self.dispatcher.coordinator, self.dispatcher.link = self.coordinator, self.link
         self.planner.ends.others_find_at_fault = self.link.at_fault
         self.coordinator.was_held = lambda node, block: block in self.link.peers[node].blocks
         self.witness = Witness(settings, self.coordinator, self.link, self.fleet, connect)
-        self.rentals = Rentals(settings, self.coordinator, self.link, self.book, self.fleet, self.ledger,
-                               self.planner, self.witness, connect)
-        self.users = Users(settings, self.state, self.mirror, self.book, self.ledger, self.formats, self._types,
-                           self.planner.wake)
+        self.rentals = Rentals(
+            settings,
+            self.coordinator,
+            self.link,
+            self.book,
+            self.fleet,
+            self.ledger,
+            self.planner,
+            self.witness,
+            connect,
+        )
+        self.users = Users(
+            settings, self.state, self.mirror, self.book, self.ledger, self.formats, self._types, self.planner.wake
+        )
         self.planner.look_up = self.users.look_up
-        self.workers = Workers(settings, self.mirror, self.book, self.fleet, self.coordinator, self.planner.wake,
-                               self.witness.came)
+        self.workers = Workers(
+            settings, self.mirror, self.book, self.fleet, self.coordinator, self.planner.wake, self.witness.came
+        )
 
     def _types(self) -> dict[str, protocol.MachineType]:
         return self.rentals.types
@@ -87,12 +112,19 @@
             self.coordinator.wake.set()
 
     def news(self) -> dict[str, Any]:
-        machines = [[m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session]
-                    for m in self.fleet.all()
-                    if not m.draining and not m.releasing and self.coordinator.grant(block_of(m.zone))]
+        machines = [
+            [m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session]
+            for m in self.fleet.all()
+            if not m.draining and not m.releasing and self.coordinator.grant(block_of(m.zone))
+        ]
         machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.gone_news)]
-        frame = {"from": self.settings.name, "state_contact": time.time() - self.mirror.age_s, "machines": machines,
-                 "held": [grant.block for grant in self.coordinator.grants()], "blocks": self.coordinator.table()}
+        frame = {
+            "from": self.settings.name,
+            "state_contact": time.time() - self.mirror.age_s,
+            "machines": machines,
+            "held": [grant.block for grant in self.coordinator.grants()],
+            "blocks": self.coordinator.table(),
+        }
         if self.formats.pipelines:
             frame.update(at_fault=self.planner.ends.found_at_fault(), came=self.witness.came_ago())
         return frame
@@ -117,8 +149,11 @@
         if self.mirror.age_s <= bound:
             return True
         now = time.monotonic()
-        others = [time.time() - peer.as_of <= bound + self.settings.clock_off_s
-                  for peer in self.link.peers.values() if now - peer.at <= bound]
+        others = [
+            time.time() - peer.as_of <= bound + self.settings.clock_off_s
+            for peer in self.link.peers.values()
+            if now - peer.at <= bound
+        ]
         return not any(others)
 
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
@@ -142,7 +177,7 @@
         if path == protocol.PATH_JOBS:
             return self.users.submit(body()) if method == "POST" else Reply(405, {"error": "use POST"})
         if path.startswith(protocol.PATH_JOBS + "/"):
-            name, slash, action = path[len(protocol.PATH_JOBS) + 1:].partition("/")
+            name, slash, action = path[len(protocol.PATH_JOBS) + 1 :].partition("/")
             if not slash:
                 return self.users.poll(name) if method == "GET" else Reply(405, {"error": "use GET"})
             if action == "cancel":
@@ -165,9 +200,14 @@
         self.rentals.start()
 
     def start(self) -> Server:
-        server = Server(self.settings.listen, self.route, idle_s=2.0 * self.settings.lease_s,
-                        body_s=min(5.0, self.settings.lease_s / 2.0), most=connection_limits.incoming(self.settings),
-                        backlog=connection_limits.backlog(self.settings))
+        server = Server(
+            self.settings.listen,
+            self.route,
+            idle_s=2.0 * self.settings.lease_s,
+            body_s=min(5.0, self.settings.lease_s / 2.0),
+            most=connection_limits.incoming(self.settings),
+            backlog=connection_limits.backlog(self.settings),
+        )
         self.begin()
         return server
 
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -17,8 +17,14 @@
 
 
 class ShareMoves:
-    def __init__(self, settings: Settings, mirror: Mirror, book: JobBook, formats: Formats,
-                 held: Callable[[], dict[str, tuple[str, int]]]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        mirror: Mirror,
+        book: JobBook,
+        formats: Formats,
+        held: Callable[[], dict[str, tuple[str, int]]],
+    ) -> None:
         self.settings = settings
         self.mirror = mirror
         self.book = book
@@ -26,9 +32,15 @@
         self.held = held  # the zones whose blocks are ours, with the conditions that they still are
         self._doubtful: dict[str, object] = {}  # teams with claims that may be executed yet -> the last of them
 
-    def for_claim(self, team: str, shares: Shares, batch: dict[tuple[str, str], Amounts], written: Write | None,
-                  added: dict[str, Amounts],
-                  held: dict[str, tuple[str, int]]) -> tuple[dict[str, int], list[Write]] | None:
+    def for_claim(
+        self,
+        team: str,
+        shares: Shares,
+        batch: dict[tuple[str, str], Amounts],
+        written: Write | None,
+        added: dict[str, Amounts],
+        held: dict[str, tuple[str, int]],
+    ) -> tuple[dict[str, int], list[Write]] | None:
         """The conditions and writes under which a team may claim more; None if it may not.
 
         `batch`: what the transaction already claims more than it ends, by team and zone; `written`: what it already
@@ -71,8 +83,9 @@
             shares = self.book.team(team).shares
             if shares:
                 with contextlib.suppress(Conflict):  # they have been written since: just as well
-                    self.mirror.write({QUOTA + team: shares.version}, [(QUOTA + team, shares.pack(), None)],
-                                      patience=patience)
+                    self.mirror.write(
+                        {QUOTA + team: shares.version}, [(QUOTA + team, shares.pack(), None)], patience=patience
+                    )
         if not self.mirror.barrier(self.mirror.state.timeout, "claim"):
             raise Unavailable("no read after a claim without an answer")
         for team, claim in doubts.items():
@@ -97,7 +110,8 @@
                 used = {zone: self.book.used(team.name, (zone,)) for zone in self.settings.zones}
             self.mirror.write(
                 {TEAM + team.name: usage.version, QUOTA + team.name: 0, FORMAT: self.mirror.get(FORMAT)[1]},
-                [(TEAM + team.name, SPENT, None), (QUOTA + team.name, Shares(0, used).pack(), None)])
+                [(TEAM + team.name, SPENT, None), (QUOTA + team.name, Shares(0, used).pack(), None)],
+            )
             log.info("team %s has shares of its limit in each zone from now on", team.name)
 
     def _catch_up(self, limit: Team) -> None:
@@ -110,8 +124,10 @@
             used = {zone: self.book.used(limit.name, (zone,)) for zone in self.settings.zones}
         if shares is None or all(within(row, shares.zones.get(zone, (0.0, 0.0)), limit) for zone, row in used.items()):
             return
-        most = {zone: tuple(map(max, shares.zones.get(zone, (0.0, 0.0)), used.get(zone, (0.0, 0.0))))
-                for zone in shares.zones.keys() | used.keys()}
+        most = {
+            zone: tuple(map(max, shares.zones.get(zone, (0.0, 0.0)), used.get(zone, (0.0, 0.0))))
+            for zone in shares.zones.keys() | used.keys()
+        }
         self.mirror.write({QUOTA + limit.name: shares.version}, [(QUOTA + limit.name, Shares(0, most).pack(), None)])
         log.info("team %s uses more than its shares: they are raised to it", limit.name)
 
@@ -125,8 +141,9 @@
         if lower is None:
             return False
         try:
-            self.mirror.write({QUOTA + team: shares.version, **dict(held.values())},
-                              [(QUOTA + team, lower.pack(), None)])
+            self.mirror.write(
+                {QUOTA + team: shares.version, **dict(held.values())}, [(QUOTA + team, lower.pack(), None)]
+            )
         except Unknown:
             # Guards against overshoot: a claim within the share as we know it doesn't write the shares, so that this
             # would still be executed after it, and others would take what the claim uses.
--- a/tidebend/controller/records/completions.py
+++ b/tidebend/controller/records/completions.py
@@ -66,8 +66,16 @@
 class Ends:
     """What has ended in our blocks and isn't recorded yet."""
 
-    def __init__(self, settings: Settings, coordinator: Coordinator, book: JobBook, fleet: Fleet, ledger: Ledger,
-                 estimates: Estimates, send: Callable[[set[str]], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        book: JobBook,
+        fleet: Fleet,
+        ledger: Ledger,
+        estimates: Estimates,
+        send: Callable[[set[str]], None],
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.book = book
@@ -140,15 +148,21 @@
         now = time.monotonic()
         due = []
         # the more jobs there are whose tasks end, the longer they are gathered: other changes need the budget more
-        gather_s = max(self.gather_s, min(self.settings.lease_s,
-                                          len(self.proven) / (ENDS_SHARE * self.ledger.mirror.state.writes_per_s)))
+        gather_s = max(
+            self.gather_s,
+            min(self.settings.lease_s, len(self.proven) / (ENDS_SHARE * self.ledger.mirror.state.writes_per_s)),
+        )
         for name, end in self.proven.items():
             job = self.book.get(name)
             if job is None:
                 continue
             since = self._since.setdefault(name, now)
-            if job.spec.kind != "array" or now - since >= gather_s or self._is_last(job, end) or (
-                    now - since >= self.claim_pause_s and self._at_limit(job.spec)):
+            if (
+                job.spec.kind != "array"
+                or now - since >= gather_s
+                or self._is_last(job, end)
+                or (now - since >= self.claim_pause_s and self._at_limit(job.spec))
+            ):
                 due.append(Edit(name, partial(self.without, end=end), self.conditions(end)))
         if due:
             recorded = self.ledger.change_all(due)
@@ -166,7 +180,9 @@
         ours = {grant.block for grant in self.coordinator.grants()}
         return not job.pending and not any(
             claim.tasks & ~end.ended.get((claim.machine, claim.session, claim.attempt), 0)
-            for claim in job.claims if block_of(claim.zone) in ours)
+            for claim in job.claims
+            if block_of(claim.zone) in ours
+        )
 
     def _at_limit(self, spec: JobSpec) -> bool:
         team = self.settings.teams.get(spec.team)
@@ -188,13 +204,18 @@
         now = time.monotonic()
         for grant in self.coordinator.grants():
             with self.fleet.lock:
-                doubt = any(token >= grant.token and now - at > self.settings.report_s
-                            for machine in self.fleet.machines.values() if block_of(machine.zone) == grant.block
-                            for token, at in machine.doubtful.values())
+                doubt = any(
+                    token >= grant.token and now - at > self.settings.report_s
+                    for machine in self.fleet.machines.values()
+                    if block_of(machine.zone) == grant.block
+                    for token, at in machine.doubtful.values()
+                )
                 long = KEPT_LEASES * self.settings.lease_s
                 kept = now - grant.since > long and any(
                     machine.kept_since is not None and now - machine.kept_since > long
-                    for machine in self.fleet.machines.values() if block_of(machine.zone) == grant.block)
+                    for machine in self.fleet.machines.values()
+                    if block_of(machine.zone) == grant.block
+                )
             if kept or doubt and now - grant.since > self.settings.report_s:
                 self.coordinator.raise_token(grant)
 
@@ -251,8 +272,9 @@
             machine.failures[job.id] = now
             self._set_back(job, machine, now, 0.0 if since is None else now - since)
             log.info("machine %s: %s failed", machine.name, key)
-            others = [name for name in machine.failures
-                      if name == job.id or self.setbacks.get(name, Setback()).failures < 3]
+            others = [
+                name for name in machine.failures if name == job.id or self.setbacks.get(name, Setback()).failures < 3
+            ]
             if len(others) >= 2 and not machine.draining:
                 machine.draining = True
                 log.info("machine %s is set aside: tasks of several jobs fail there", machine.name)
@@ -271,7 +293,7 @@
             if now < setback.not_before:
                 return  # of the same round: an array's tasks fail together
             setback.rounds += 1
-            pause = min(LONGEST_PAUSE * self.settings.lease_s, 2.0 ** setback.rounds * self.settings.report_s)
+            pause = min(LONGEST_PAUSE * self.settings.lease_s, 2.0**setback.rounds * self.settings.report_s)
             log.info("job %s fails wherever it is tried: one more try in %.0f s", job.id, pause)
         setback.not_before = now + pause
 
@@ -294,8 +316,9 @@
                     if time.time() - claim.at > LONGEST_PAUSE * self.settings.lease_s:
                         return False
                 elif any(
-                        now - machine.running_since.get((job.id, index, claim.attempt), now) > well
-                        for index in members(claim.tasks)):
+                    now - machine.running_since.get((job.id, index, claim.attempt), now) > well
+                    for index in members(claim.tasks)
+                ):
                     return False
         return True
 
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -57,8 +57,9 @@
         self.drafts = Drafts(book, shares.formats, sizes)
         self.splitting = Splitting(mirror, book, sizes)
 
-    def change(self, name: str, make: Callable[[Job, Usage], Job | None], conditions: dict[str, int],
-               patience: float = 1.0) -> Job | None:
+    def change(
+        self, name: str, make: Callable[[Job, Usage], Job | None], conditions: dict[str, int], patience: float = 1.0
+    ) -> Job | None:
         """One job's edit; None if there was nothing to write, or a condition failed."""
         return self.change_all([Edit(name, make, conditions)], patience).get(name)
 
@@ -147,8 +148,9 @@
             added = _added(job, draft.job)
             if usage.shares:
                 charged = False
-                quota = self.shares.for_claim(team, usage.shares, batch.added, batch.writes.get(QUOTA + team), added,
-                                              zones)
+                quota = self.shares.for_claim(
+                    team, usage.shares, batch.added, batch.writes.get(QUOTA + team), added, zones
+                )
                 if quota is None:
                     continue
                 checks.update(quota[0])
@@ -156,10 +158,12 @@
             elif charged:
                 checks[TEAM + team] = usage.version
                 writes.append((TEAM + team, draft.usage.pack(), None))
-            if batch.writes and (len({*batch.writes, *(key for key, _, _ in writes)}) > most
-                                 or len(batch.checks.keys() | checks.keys()) > self.sizes.most_checks
-                                 or batch.bytes + draft.bytes > MOST_BYTES
-                                 or any(batch.checks.get(key, version) != version for key, version in checks.items())):
+            if batch.writes and (
+                len({*batch.writes, *(key for key, _, _ in writes)}) > most
+                or len(batch.checks.keys() | checks.keys()) > self.sizes.most_checks
+                or batch.bytes + draft.bytes > MOST_BYTES
+                or any(batch.checks.get(key, version) != version for key, version in checks.items())
+            ):
                 # The last guards against a condition that takes the place of another on the same key: what was made
                 # from the older reading would go through unchecked.
                 return batch, edits[number:]
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -36,14 +36,19 @@
 
     def can_be_split(self, job: Job) -> bool:
         """Whether a record may become a head with parts; a gang, which starts whole, only if it must."""
-        return self.formats.pipelines and job.parts is None and job.spec.tasks > (
-            part_size(self.value_bytes) if job.spec.kind == "gang" else 1)
+        return (
+            self.formats.pipelines
+            and job.parts is None
+            and job.spec.tasks > (part_size(self.value_bytes) if job.spec.kind == "gang" else 1)
+        )
 
     def fits(self, job: Job, before: Job | None = None) -> bool:
         """Whether records with these claims leave room for what is still to come; `before`: what it was made from."""
         if job.parts and before is not None:
-            sizes = [packed_bytes(job.part_of(number, before).pack(number * job.parts.size))
-                     for number in job.touched(before)]
+            sizes = [
+                packed_bytes(job.part_of(number, before).pack(number * job.parts.size))
+                for number in job.touched(before)
+            ]
             return max(sizes, default=0) <= CLAIMS_SHARE * self.value_bytes
         return self.can_be_split(job) or packed_bytes(job.pack()) <= CLAIMS_SHARE * self.value_bytes
 
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -53,15 +53,21 @@
             size = max(1, size // 2)
         opened = sum(1 << number for number in rows)
         head = replace(whole, parts=replace(parts, opened=opened, closed=0 if job.cancelled else closed))
-        writes: list[Write] = [(part_key(name, number), part.pack(number * parts.size), None)
-                               for number, part in rows.items() if sources.get(number) != job.version]
+        writes: list[Write] = [
+            (part_key(name, number), part.pack(number * parts.size), None)
+            for number, part in rows.items()
+            if sources.get(number) != job.version
+        ]
         try:
             while writes:
-                self.mirror.write({job.key: job.version}, writes[:self.sizes.most_writes], patience=patience)
-                writes = writes[self.sizes.most_writes:]
+                self.mirror.write({job.key: job.version}, writes[: self.sizes.most_writes], patience=patience)
+                writes = writes[self.sizes.most_writes :]
             moved: list[Write] = [(job.key, None, None)] if job.key != head.key else []
-            self.mirror.write({job.key: job.version, FORMAT: self.mirror.get(FORMAT)[1], **(
-                {head.key: 0} if moved else {})}, [*moved, (HEAD + name, head.pack(), None)], patience=patience)
+            self.mirror.write(
+                {job.key: job.version, FORMAT: self.mirror.get(FORMAT)[1], **({head.key: 0} if moved else {})},
+                [*moved, (HEAD + name, head.pack(), None)],
+                patience=patience,
+            )
         except Conflict:
             self.mirror.barrier(self.mirror.state.timeout, "claim")
             return False
--- a/tidebend/controller/records/transaction_builder.py
+++ b/tidebend/controller/records/transaction_builder.py
@@ -67,13 +67,17 @@
             return None
         room = self.sizes.most_writes - 3
         if len(known) > max(0, room):
-            return self._closed(job, new, list(known)[:self.sizes.most_writes - 1], usage)
+            return self._closed(job, new, list(known)[: self.sizes.most_writes - 1], usage)
         parts = [part_key(job.id, number) for number in known]
         final = pack_final("cancelled" if new.cancelled else "done", time.time(), not self.formats.pipelines)
         writes: list[Write] = [(job.key, None, None), (FINAL + job.id, final, None)]
         writes += [(key, None, None) for key in parts]
-        return Draft(new, {job.key: job.version, **dict(zip(parts, known.values(), strict=True))}, writes,
-                      usage.without(job.spec, job.charged))
+        return Draft(
+            new,
+            {job.key: job.version, **dict(zip(parts, known.values(), strict=True))},
+            writes,
+            usage.without(job.spec, job.charged),
+        )
 
     def _closed(self, job: Job, new: Job, numbers: list[int], usage: Usage) -> Draft:
         """Parts of a job that is over are deleted ahead of it: they are more than one transaction takes."""
@@ -82,10 +86,12 @@
         writes: list[Write] = [(part_key(job.id, number), None, None) for number in numbers]
         if job.parts:
             # what ends with this edit counts as ended, or the team's record would keep it for ever
-            rows = tuple((number, new.part_of(number, job) if number in numbers else part)
-                         for number, part in job.parts.rows)
+            rows = tuple(
+                (number, new.part_of(number, job) if number in numbers else part) for number, part in job.parts.rows
+            )
             job = replace(job, cancelled=new.cancelled, parts=replace(job.parts, rows=rows)).without_parts(
-                [number for number in numbers if job.parts.opened >> number & 1])
+                [number for number in numbers if job.parts.opened >> number & 1]
+            )
             writes.append((job.key, job.pack(), None))
         return Draft(job, checks, writes, usage)
 
@@ -107,7 +113,7 @@
         numbers = new.touched(job)
         whole = job.spec.kind == "gang" and new.running > job.running
         if not whole:
-            numbers = numbers[:max(1, self.sizes.most_writes - 2)]  # the head's record and the team's come on top
+            numbers = numbers[: max(1, self.sizes.most_writes - 2)]  # the head's record and the team's come on top
         rows = dict(parts.rows)
         checks = {job.key: job.version}
         writes: list[Write] = []
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -23,8 +23,15 @@
 
 
 class Claims:
-    def __init__(self, settings: Settings, coordinator: Coordinator, ledger: Ledger, ends: Ends, waiting: Waiting,
-                 send: Callable[[set[str]], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        ledger: Ledger,
+        ends: Ends,
+        waiting: Waiting,
+        send: Callable[[set[str]], None],
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.ledger = ledger
@@ -80,8 +87,9 @@
                     first.append(edit)
         return first
 
-    def _claimed(self, job: Job, usage: Usage, group: list[Placement],
-                 places: Found, at: float, end: ProvenEnds | None) -> Job | None:
+    def _claimed(
+        self, job: Job, usage: Usage, group: list[Placement], places: Found, at: float, end: ProvenEnds | None
+    ) -> Job | None:
         """The job with claims for a group of placements: the rules that span holders are checked against the very
         records that the transaction compares."""
         if end is not None:
@@ -117,6 +125,6 @@
         new = job.with_claims(claims)
         while not gang and len(claims) > 1 and not self.ledger.sizes.fits(new, job):
             # a record holds only so many claims: the rest follows as these end
-            claims = claims[:len(claims) // 2]
+            claims = claims[: len(claims) // 2]
             new = job.with_claims(claims)
         return new if gang or not job.claims or self.ledger.sizes.fits(new, job) else None
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -21,8 +21,15 @@
 
 
 class Places:
-    def __init__(self, settings: Settings, coordinator: Coordinator, book: JobBook, fleet: Fleet,
-                 types: Callable[[], dict[str, MachineType]], estimates: Estimates) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        book: JobBook,
+        fleet: Fleet,
+        types: Callable[[], dict[str, MachineType]],
+        estimates: Estimates,
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.book = book
@@ -34,8 +41,17 @@
     def silent(self, machine: Machine, now: float) -> bool:
         return now - machine.heard > self.suspect_s
 
-    def _remaining(self, machine: Machine, job: Job, key: Key, kind: MachineType, now: float, clock: float,
-                   claim: Claim, estimate: float) -> float:
+    def _remaining(
+        self,
+        machine: Machine,
+        job: Job,
+        key: Key,
+        kind: MachineType,
+        now: float,
+        clock: float,
+        claim: Claim,
+        estimate: float,
+    ) -> float:
         if job.spec.kind == "service":
             return math.inf
         since = machine.running_since.get(key)
@@ -97,8 +113,7 @@
         timeline = Timeline(now, (kind.cpus, kind.gpus, kind.memory_gb))
         for end, taken in ends.items():
             timeline.take(now, now + end, taken)
-        place = Place(machine.name, kind, machine.zone, machine.spot, timeline, set(machine.images),
-                      len(fetching))
+        place = Place(machine.name, kind, machine.zone, machine.spot, timeline, set(machine.images), len(fetching))
         if machine.notice_at is not None:
             place.until = machine.notice_at
         return place
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -26,8 +26,16 @@
 
 
 class Waiting:
-    def __init__(self, settings: Settings, coordinator: Coordinator, book: JobBook, fleet: Fleet,
-                 types: Callable[[], dict[str, MachineType]], estimates: Estimates, ends: Ends) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        book: JobBook,
+        fleet: Fleet,
+        types: Callable[[], dict[str, MachineType]],
+        estimates: Estimates,
+        ends: Ends,
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.book = book
@@ -113,18 +121,27 @@
             if team.gpus_max is not None and spec.gpus > 0:
                 headroom = min(headroom, int((team.gpus_max - usage.gpus + 1e-6) // spec.gpus))
             within = used[0] - freed[0] + spec.cpus <= team.cpus + 1e-6 and (
-                spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + 1e-6)
+                spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + 1e-6
+            )
         # the steady clock and the time of day meet here: values are of the time of day
         demand = self._demands.get(job.id) or self._own_demand(job, estimate)
         value = value_of(demand, job.since, estimate, within)
         setback = self.ends.setbacks.get(job.id)
-        return Want(job.id, spec, value, estimate, waiting, job.per_zone(), headroom,
-                    None if service else self._reserved_since(job, value, clock),
-                    clock + max(0.0, setback.not_before - now) if setback else 0.0,
-                    largest_share(spec, list(self.types().values())),
-                    job.since + self.settings.start_aims.get(spec.job_class, math.inf),
-                    spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values()),
-                    avoided=self.ends.avoided(job, now) if at_fault else self._know_the_attempt(job))
+        return Want(
+            job.id,
+            spec,
+            value,
+            estimate,
+            waiting,
+            job.per_zone(),
+            headroom,
+            None if service else self._reserved_since(job, value, clock),
+            clock + max(0.0, setback.not_before - now) if setback else 0.0,
+            largest_share(spec, list(self.types().values())),
+            job.since + self.settings.start_aims.get(spec.job_class, math.inf),
+            spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values()),
+            avoided=self.ends.avoided(job, now) if at_fault else self._know_the_attempt(job),
+        )
 
     def _know_the_attempt(self, job: Job) -> frozenset[str]:
         """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
@@ -172,8 +189,9 @@
 
         All its machines must be ours to know that, and a replacement must have its image while the others wait.
         """
-        fetch = max((kind.fetch_s(job.spec.image_gb) for kind in self.types().values() if kind.fits(job.spec)),
-                    default=0.0)
+        fetch = max(
+            (kind.fetch_s(job.spec.image_gb) for kind in self.types().values() if kind.fits(job.spec)), default=0.0
+        )
         held = self.coordinator.held_zones()
         for claim in job.claims:
             if claim.zone not in held or claim.attempt != job.claims[0].attempt:
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -24,8 +24,15 @@
 
 
 class Room:
-    def __init__(self, settings: Settings, coordinator: Coordinator, book: JobBook, fleet: Fleet, turns: Turns,
-                 send: Callable[[set[str]], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        book: JobBook,
+        fleet: Fleet,
+        turns: Turns,
+        send: Callable[[set[str]], None],
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.book = book
@@ -91,8 +98,13 @@
             used.add(number)
             with self.fleet.lock:
                 machine.stops.update(keys)
-            log.info("machine %s: %s make room for %s, %.0f s of work lost", machine.name,
-                     [key[:2] for key, _ in keys], want.job, lost)
+            log.info(
+                "machine %s: %s make room for %s, %.0f s of work lost",
+                machine.name,
+                [key[:2] for key, _ in keys],
+                want.job,
+                lost,
+            )
         if used:
             self.send({candidates[number][1].name for number in used})
             self._until[want.job] = now + 2.0 * self.settings.report_s
@@ -119,8 +131,9 @@
         return tuple(free), sorted(victims)
 
     @staticmethod
-    def _cheapest(free: Amount, victims: list[_Victim], need: Amount,
-                  rank: int) -> tuple[float, list[tuple[Key, float]]] | None:
+    def _cheapest(
+        free: Amount, victims: list[_Victim], need: Amount, rank: int
+    ) -> tuple[float, list[tuple[Key, float]]] | None:
         """The stops that make room for one task on a machine, with what they lose."""
         lost = 0.0
         keys: list[tuple[Key, float]] = []
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -35,9 +35,17 @@
 
 
 class Planner:
-    def __init__(self, settings: Settings, coordinator: Coordinator, book: JobBook, fleet: Fleet, ledger: Ledger,
-                 shares: ShareMoves, types: Callable[[], dict[str, MachineType]],
-                 send: Callable[[set[str]], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        book: JobBook,
+        fleet: Fleet,
+        ledger: Ledger,
+        shares: ShareMoves,
+        types: Callable[[], dict[str, MachineType]],
+        send: Callable[[set[str]], None],
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.book = book
@@ -130,8 +138,10 @@
             if want is None:
                 continue
             need = need_of(job.spec)
-            fetched = any(times_fit(place.timeline.free[0], need) and allowed_on(want, place)
-                          for place in at_hand.get(job.spec.image, ()))
+            fetched = any(
+                times_fit(place.timeline.free[0], need) and allowed_on(want, place)
+                for place in at_hand.get(job.spec.image, ())
+            )
             turn = min((self.turns.until(job, block, blocks, now, int(not fetched)) for block in mine), default=0.0)
             if job.spec.kind == "array" and job.id in self.claims.at:
                 turn = max(turn, self.claims.at[job.id] + self.ends.claim_pause_s - now)
@@ -140,8 +150,13 @@
             wants.append(want)
         longest = max((want.estimate for want in wants), default=0.0)
         horizon = self.settings.knobs.horizon * longest
-        placements = map_tasks(wants + moving, [place for place, _, _ in places.values()], clock, horizon,
-                               self.waiting.owed({want.spec.team for want in wants}))
+        placements = map_tasks(
+            wants + moving,
+            [place for place, _, _ in places.values()],
+            clock,
+            horizon,
+            self.waiting.owed({want.spec.team for want in wants}),
+        )
         chosen: dict[str, list[Placement]] = {}
         for placement in placements:
             if placement.now:
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -33,9 +33,16 @@
 
 
 class Workers:
-    def __init__(self, settings: Settings, mirror: Mirror, book: JobBook, fleet: Fleet,
-                 coordinator: Coordinator, wake: Callable[[], None],
-                 came: Callable[[str], None]) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        mirror: Mirror,
+        book: JobBook,
+        fleet: Fleet,
+        coordinator: Coordinator,
+        wake: Callable[[], None],
+        came: Callable[[str], None],
+    ) -> None:
         self.settings = settings
         self.came = came
         self.mirror = mirror
@@ -103,8 +110,11 @@
             commands = []
             if not stale:
                 claims = self.book.on_machine(machine.name)
-                commands = (orders(machine, claims, grant.token, direct=False) if self.coordinator.lease_valid
-                            else cancelled_stops(machine, claims))[:MOST_COMMANDS]
+                commands = (
+                    orders(machine, claims, grant.token, direct=False)
+                    if self.coordinator.lease_valid
+                    else cancelled_stops(machine, claims)
+                )[:MOST_COMMANDS]
         if changed:
             self.wake()
         if stale:
@@ -117,8 +127,14 @@
 
     THREADS = 3
 
-    def __init__(self, settings: Settings, book: JobBook, fleet: Fleet, wake: Callable[[], None],
-                 connect: Callable[..., HttpClient] = HttpClient) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        book: JobBook,
+        fleet: Fleet,
+        wake: Callable[[], None],
+        connect: Callable[..., HttpClient] = HttpClient,
+    ) -> None:
         self.settings = settings
         self.book = book
         self.fleet = fleet
@@ -160,8 +176,11 @@
 
     def took_up(self, grant: Grant) -> None:
         """A block has become ours: let the workers that peers and we ourselves know there learn the token."""
-        rows = {m.name: (m.name, m.zone, m.address, m.session) for m in self.fleet.all()
-                if block_of(m.zone) == grant.block and m.address is not None}
+        rows = {
+            m.name: (m.name, m.zone, m.address, m.session)
+            for m in self.fleet.all()
+            if block_of(m.zone) == grant.block and m.address is not None
+        }
         for peer in self.link.peers.values():
             for name, _, zone, _, released, host, port, session in peer.machines or ():
                 if not released and block_of(zone) == grant.block and host:
@@ -211,8 +230,9 @@
                 session = machine.session
                 claims = self.book.on_machine(name)
                 if machine.token <= grant.token:
-                    commands = (orders(machine, claims, grant.token, direct=True) if valid
-                                else cancelled_stops(machine, claims))[:MOST_COMMANDS]
+                    commands = (
+                        orders(machine, claims, grant.token, direct=True) if valid else cancelled_stops(machine, claims)
+                    )[:MOST_COMMANDS]
                 silent = time.monotonic() - machine.heard > 2.0 * self.settings.report_s
             # without a lease nothing but those stops goes out, not even our token
             if not commands and (not valid or machine is not None and machine.token >= grant.token and not silent):
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -40,8 +40,14 @@
     what is said here: a claim needs its proof all the same.
     """
 
-    def __init__(self, settings: Settings, coordinator: Coordinator, link: PeerLink, fleet: Fleet,
-                 connect: Callable[..., HttpClient] = HttpClient) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        link: PeerLink,
+        fleet: Fleet,
+        connect: Callable[..., HttpClient] = HttpClient,
+    ) -> None:
         self.settings = settings
         self.coordinator = coordinator
         self.link = link
@@ -65,8 +71,7 @@
     def came_ago(self) -> dict[str, float]:
         """For each block, how many seconds ago one of its workers last came to us, if that was within a lease."""
         now = time.monotonic()
-        return {block: round(now - at, 3) for block, at in list(self._came.items())
-                if now - at < self.settings.lease_s}
+        return {block: round(now - at, 3) for block, at in list(self._came.items()) if now - at < self.settings.lease_s}
 
     def _silent(self, name: str) -> bool:
         return time.monotonic() - self.link.peers[name].at > 3.0 * self.link.pause
--- a/tidebend/coordination/__init__.py
+++ b/tidebend/coordination/__init__.py
@@ -4,5 +4,4 @@
 from tidebend.coordination.peer_exchange import PeerLink, PeerNews
 from tidebend.coordination.shards import Grant, block_of, zone_of
 
-__all__ = ["BLOCK", "FAILURES", "LEADER", "NODE", "Coordinator", "Grant", "PeerLink", "PeerNews", "block_of",
-           "zone_of"]
+__all__ = ["BLOCK", "FAILURES", "LEADER", "NODE", "Coordinator", "Grant", "PeerLink", "PeerNews", "block_of", "zone_of"]
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -28,8 +28,9 @@
 class Coordinator:
     """Keeps our lease, leads if it falls to us, and knows which blocks are ours."""
 
-    def __init__(self, settings: Settings, state: StateClient, mirror: Mirror,
-                 took_up: Callable[[Grant], None], formats: Formats) -> None:
+    def __init__(
+        self, settings: Settings, state: StateClient, mirror: Mirror, took_up: Callable[[Grant], None], formats: Formats
+    ) -> None:
         self.settings = settings
         self.formats = formats
         self.state = state
@@ -193,7 +194,8 @@
                 value = {"node": alone[0], "at": round(at, 3), "held": self.was_held(alone[0], block)}
                 log.info("zone %s: %s is out of touch; it works on inside at the most", zone, alone[0])
             elif self.mirror.get(NODE + record["node"])[0] is not None or (
-                    time.time() - record["at"] > self.settings.cancel_s and not self.heard_by_nobody(block)):
+                time.time() - record["at"] > self.settings.cancel_s and not self.heard_by_nobody(block)
+            ):
                 value = None
                 log.info("zone %s is no longer left alone", zone)
             else:
@@ -249,8 +251,9 @@
                 log.info("block %s: token %s is above ours, %s", block, token, grant.token)
 
     def table(self) -> dict[str, tuple[int, str]]:
-        return {key[len(BLOCK):]: (version, value["holder"])
-                for key, (value, version) in self.mirror.under(BLOCK).items()}
+        return {
+            key[len(BLOCK) :]: (version, value["holder"]) for key, (value, version) in self.mirror.under(BLOCK).items()
+        }
 
     def told(self, table: dict[str, Any]) -> None:
         with self._lock:
@@ -292,7 +295,7 @@
         lost = []
         zones = {peer.name: peer.zone for peer in self.settings.peers}
         for key, (value, version) in self.mirror.under(BLOCK).items():
-            block = key[len(BLOCK):]
+            block = key[len(BLOCK) :]
             if zones.get(value["holder"]) == zone_of(block):
                 self._at_home[block] = (value["holder"], time.monotonic())
             if value["holder"] != self.settings.name:
@@ -324,9 +327,15 @@
                 # Guards against a patience that begins anew with each token: while a block's workers are lost we raise
                 # it again and again, for the commands that got no answer. Whatever else gave us a new one, others may
                 # have held the block meanwhile.
-                taken = [Grant(block, token, now, self._held[block].held
-                               if block in self._held and token == self._raised.get(block) else now)
-                         for block, token in fresh.items()]
+                taken = [
+                    Grant(
+                        block,
+                        token,
+                        now,
+                        self._held[block].held if block in self._held and token == self._raised.get(block) else now,
+                    )
+                    for block, token in fresh.items()
+                ]
                 self._held.update((grant.block, grant) for grant in taken)
             for grant in taken:
                 log.info("block %s is ours with token %s", grant.block, grant.token)
@@ -389,7 +398,7 @@
 
     def _share_out(self) -> None:
         now = time.monotonic()
-        nodes = {key[len(NODE):]: value for key, (value, _) in self.mirror.under(NODE).items()}
+        nodes = {key[len(NODE) :]: value for key, (value, _) in self.mirror.under(NODE).items()}
         self._nodes_since = {name: self._nodes_since.get(name, now) for name in nodes}
         blocks = self.mirror.under(BLOCK)
         held = dict.fromkeys(nodes, 0)
@@ -399,7 +408,7 @@
             if value["holder"] in held:
                 held[value["holder"]] += 1
         every = {block_of(zone) for zone in self.settings.zones}
-        every |= {key[len(BLOCK):] for key in blocks}
+        every |= {key[len(BLOCK) :] for key in blocks}
         for block in sorted(every):
             value, version = blocks.get(BLOCK + block, (None, 0))
             holder = value["holder"] if value else None
@@ -410,8 +419,14 @@
                 # who has least; whose workers find the next controller alive if this one falls silent: else they lose
                 # another time-out.
                 after = names[(names.index(name) + 1) % len(names)] if name in names else name
-                return (block in nodes[name].get("unheard", ()), name in exposed, nodes[name]["zone"] != zone,
-                        held[name], after not in nodes, name)
+                return (
+                    block in nodes[name].get("unheard", ()),
+                    name in exposed,
+                    nodes[name]["zone"] != zone,
+                    held[name],
+                    after not in nodes,
+                    name,
+                )
 
             if not nodes:
                 return
@@ -430,12 +445,19 @@
                 told = self._unheard_since.setdefault((block, holder), now) if unheard else now
                 patient = self.left_alone(block) is not None and now - told < self._lease_s
                 if (unheard and not better[0] and not patient) or (
-                        settled and not better[0] and (risky > better[1] or risky == better[1] and (
-                            abroad and not better[2] or load - better[3] >= 2 and abroad == better[2]))):
+                    settled
+                    and not better[0]
+                    and (
+                        risky > better[1]
+                        or risky == better[1]
+                        and (abroad and not better[2] or load - better[3] >= 2 and abroad == better[2])
+                    )
+                ):
                     self._give(block, version, best, nodes, held, holder)
 
-    def _give(self, block: str, version: int, name: str, nodes: dict[str, Any], held: dict[str, int],
-              before: str | None) -> None:
+    def _give(
+        self, block: str, version: int, name: str, nodes: dict[str, Any], held: dict[str, int], before: str | None
+    ) -> None:
         self._put_block(block, version, name, nodes[name]["lease"])
         held[name] += 1
         if before is not None:
--- a/tidebend/coordination/peer_exchange.py
+++ b/tidebend/coordination/peer_exchange.py
@@ -33,8 +33,9 @@
 class PeerLink:
     """Frames to each peer, about once a report interval, with what we know of blocks and machines."""
 
-    def __init__(self, settings: Settings, news: Callable[[], dict[str, Any]],
-                 told: Callable[[dict[str, Any]], None]) -> None:
+    def __init__(
+        self, settings: Settings, news: Callable[[], dict[str, Any]], told: Callable[[dict[str, Any]], None]
+    ) -> None:
         self.settings = settings
         self._news = news
         self._told = told
@@ -70,8 +71,9 @@
     def at_fault(self) -> frozenset[str]:
         """Jobs that failed wherever some other controller tried them, by news that is no older than a lease."""
         now = time.monotonic()
-        return frozenset().union(*(peer.at_fault for peer in self.peers.values()
-                                   if now - peer.at < self.settings.lease_s))
+        return frozenset().union(
+            *(peer.at_fault for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
+        )
 
     def came(self, block: str) -> float:
         """Steady time at which a worker of a block last came to some other controller."""
--- a/tidebend/hcl.py
+++ b/tidebend/hcl.py
@@ -44,7 +44,7 @@
             self._lines: dict[tuple[str, ...], int] = {}
             self._note(hcl2.parses_to_tree(text), ())
         except UnicodeDecodeError as error:
-            line = raw[:error.start].count(b"\n") + 1
+            line = raw[: error.start].count(b"\n") + 1
             raise BadFile(f"{path}:{line}: not UTF-8") from error
         except UnexpectedInput as error:
             raise BadFile(f"{path}:{error.line}: not HCL: unexpected {_unexpected(error)}") from error
@@ -56,9 +56,12 @@
             if not isinstance(node, Tree):
                 continue
             if node.data in ("attribute", "block"):
-                words = [str(word) for part in node.children if isinstance(part, Tree)
-                         and part.data in ("identifier", "string")
-                         for word in part.scan_values(lambda token: token.type in ("NAME", "STRING_CHARS"))]
+                words = [
+                    str(word)
+                    for part in node.children
+                    if isinstance(part, Tree) and part.data in ("identifier", "string")
+                    for word in part.scan_values(lambda token: token.type in ("NAME", "STRING_CHARS"))
+                ]
                 if node.data == "attribute":
                     words = words[:1]
                 self._lines.setdefault((*where, *words), node.meta.line)
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -5,5 +5,15 @@
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.kvclient.watch_cache import Mirror
 
-__all__ = ["FINAL", "LIVE", "PREFIX", "Conflict", "Mirror", "NoSuchLease", "Refused", "StateClient", "Unavailable",
-           "Unknown"]
+__all__ = [
+    "FINAL",
+    "LIVE",
+    "PREFIX",
+    "Conflict",
+    "Mirror",
+    "NoSuchLease",
+    "Refused",
+    "StateClient",
+    "Unavailable",
+    "Unknown",
+]
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -35,8 +35,14 @@
 
 
 class StateClient:
-    def __init__(self, address: tuple[str, int], limits: Limits, controllers: int,
-                 timeout: float, connect: Callable[..., HttpClient] = HttpClient) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        limits: Limits,
+        controllers: int,
+        timeout: float,
+        connect: Callable[..., HttpClient] = HttpClient,
+    ) -> None:
         self._http = connect(address, keep=6)
         # A controller's share is more than an equal one, since the others seldom use theirs in the same second;
         # when they do, the service refuses, which is safe, and the refused back off.
@@ -72,8 +78,9 @@
         self._submissions.change(SUBMIT_SHARE * self.writes_per_s)
         self._pauses(limits)
 
-    def _call(self, method: str, path: str, body: Any, kind: str, writes: int = 0, timeout: float = 0.0,
-              patience: float = 0.0) -> tuple[int, Any]:
+    def _call(
+        self, method: str, path: str, body: Any, kind: str, writes: int = 0, timeout: float = 0.0, patience: float = 0.0
+    ) -> tuple[int, Any]:
         deadline = time.monotonic() + patience
         floor = FLOORS[kind]
         if kind == "submit" and not self._submissions.take(writes):
@@ -101,12 +108,19 @@
             raise Unavailable("refused")
         return status, answer
 
-    def transact(self, conditions: dict[str, int], writes: list[Write], kind: str = "claim",
-                 patience: float = 0.5) -> int:
+    def transact(
+        self, conditions: dict[str, int], writes: list[Write], kind: str = "claim", patience: float = 0.5
+    ) -> int:
         """Returns the revision; raises Conflict, NoSuchLease, Refused, Unavailable or Unknown."""
         log.debug("%s: %d changes of %s", kind, len(writes), " ".join(key for key, _, _ in writes))
-        status, answer = self._call("POST", protocol.PATH_TRANSACTION, protocol.transaction(conditions, writes),
-                                    kind, len(writes), patience=patience)
+        status, answer = self._call(
+            "POST",
+            protocol.PATH_TRANSACTION,
+            protocol.transaction(conditions, writes),
+            kind,
+            len(writes),
+            patience=patience,
+        )
         try:
             if status == 200:
                 return protocol.parse_revision(answer)
@@ -135,8 +149,9 @@
             raise Unknown(str(error)) from error
 
     def items(self, prefix: str, after: str | None) -> tuple[list[tuple[str, Any, int]], bool, int]:
-        status, answer = self._call("GET", protocol.range_path(prefix, after, 500), None, "claim",
-                                    timeout=2 * self.timeout, patience=1.0)
+        status, answer = self._call(
+            "GET", protocol.range_path(prefix, after, 500), None, "claim", timeout=2 * self.timeout, patience=1.0
+        )
         if status != 200:
             raise Unknown(f"unexpected status {status}")
         try:
@@ -144,11 +159,18 @@
         except protocol.Invalid as error:
             raise Unknown(str(error)) from error
 
-    def changes(self, prefix: str, revision: int, wait_s: float,
-                kind: str) -> tuple[list[tuple[str, Any, int]], int] | None:
+    def changes(
+        self, prefix: str, revision: int, wait_s: float, kind: str
+    ) -> tuple[list[tuple[str, Any, int]], int] | None:
         """None if the revision is too old."""
-        status, answer = self._call("GET", protocol.changes_path(prefix, revision, int(wait_s * 1000)), None, kind,
-                                    timeout=wait_s + self.timeout, patience=0.0 if wait_s else self._patience_s)
+        status, answer = self._call(
+            "GET",
+            protocol.changes_path(prefix, revision, int(wait_s * 1000)),
+            None,
+            kind,
+            timeout=wait_s + self.timeout,
+            patience=0.0 if wait_s else self._patience_s,
+        )
         if status == 410:
             return None
         if status != 200:
@@ -159,8 +181,9 @@
             raise Unknown(str(error)) from error
 
     def grant_lease(self, seconds: float) -> int:
-        status, answer = self._call("POST", protocol.PATH_LEASES, protocol.lease_request(seconds), "lease",
-                                    patience=self._patience_s)
+        status, answer = self._call(
+            "POST", protocol.PATH_LEASES, protocol.lease_request(seconds), "lease", patience=self._patience_s
+        )
         if status != 200:
             raise Unknown(f"unexpected status {status}")
         try:
@@ -170,8 +193,7 @@
 
     def extend_lease(self, lease: int) -> bool:
         """False if the lease has ended."""
-        status, _ = self._call("POST", protocol.lease_path(lease, "/extend"), None, "lease",
-                               patience=self._patience_s)
+        status, _ = self._call("POST", protocol.lease_path(lease, "/extend"), None, "lease", patience=self._patience_s)
         if status == 404:
             return False
         if status != 200:
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -29,8 +29,14 @@
     `on_change(key, value, version)` is called under `lock`, for each newer version once.
     """
 
-    def __init__(self, state: StateClient, on_change: Callable[[str, Any, int], None],
-                 lock: threading.RLock, watch_s: float, retry_s: float) -> None:
+    def __init__(
+        self,
+        state: StateClient,
+        on_change: Callable[[str, Any, int], None],
+        lock: threading.RLock,
+        watch_s: float,
+        retry_s: float,
+    ) -> None:
         self.state = state
         self.lock = lock
         self.loaded = threading.Event()
@@ -109,8 +115,7 @@
             with self.lock:
                 del self._requests_under_way[request]
 
-    def write(self, conditions: dict[str, int], writes: list[Write], kind: str = "claim",
-              patience: float = 0.5) -> int:
+    def write(self, conditions: dict[str, int], writes: list[Write], kind: str = "claim", patience: float = 0.5) -> int:
         """Change the records, then the cache by the same changes; raises as `StateClient.transact` does."""
         with self._request_under_way():
             revision = self.state.transact(conditions, writes, kind, patience)
@@ -154,8 +159,11 @@
                 else:
                     rows[key] = (value, version)
         with self.lock:
-            gone = [(key, None, revision) for key, (_, version) in self._items.items()
-                    if key not in rows and version < revision]
+            gone = [
+                (key, None, revision)
+                for key, (_, version) in self._items.items()
+                if key not in rows and version < revision
+            ]
             self.apply([(key, value, version) for key, (value, version) in rows.items()] + gone + finals)
             self._revision = max(self._revision, revision)
         self.loaded.set()
--- a/tidebend/kvstore/disk_log.py
+++ b/tidebend/kvstore/disk_log.py
@@ -71,8 +71,10 @@
         connection.execute("PRAGMA journal_mode = WAL")
         if version == 0:
             # one transaction, so that a crash leaves an empty file or a whole one
-            connection.executescript(f"BEGIN IMMEDIATE; {TABLES} PRAGMA application_id = {APPLICATION}; "
-                                     f"PRAGMA user_version = {VERSION}; COMMIT;")
+            connection.executescript(
+                f"BEGIN IMMEDIATE; {TABLES} PRAGMA application_id = {APPLICATION}; "
+                f"PRAGMA user_version = {VERSION}; COMMIT;"
+            )
         else:
             for (line,) in connection.execute("PRAGMA quick_check(1)"):
                 if line != "ok":
--- a/tidebend/kvstore/engine.py
+++ b/tidebend/kvstore/engine.py
@@ -126,6 +126,7 @@
 
     def transact(self, conditions: dict[str, int], writes: list[Write], timeout: float = 5.0) -> int:
         """The revision; raises ConditionFailed, LeaseEnded, Failed, or TimeoutError if the outcome isn't known yet."""
+
         def run(sync: _Sync) -> int:
             # by the protocol a lease that has ended counts before the conditions do
             if any(write.lease is not None and not sync.leases.lives(write.lease) for write in writes):
@@ -282,6 +283,7 @@
 
     def get(self, key: str) -> tuple[Item | None, int]:
         """The item and the revision at which it was read."""
+
         def work(connection: sqlite3.Connection) -> tuple[Item | None, int]:
             row = connection.execute("SELECT value, version, lease FROM items WHERE key = ?", (key,)).fetchone()
             item = Item(key, msgspec.json.decode(row[0]), row[1], row[2]) if row else None
@@ -291,6 +293,7 @@
 
     def items(self, prefix: str, after: str, most: int, most_bytes: int) -> tuple[list[Item], bool, int]:
         """Items in key order, whether there are more, and the revision; all as of that revision."""
+
         def work(connection: sqlite3.Connection) -> tuple[list[Item], bool, int]:
             revision = self._revision(connection)
             found: list[Item] = []
@@ -305,8 +308,11 @@
         return self._read(work)
 
     def count(self, prefix: str) -> int:
-        return self._read(lambda connection: connection.execute(
-            "SELECT COUNT(*) FROM items WHERE key >= ? AND key < ?", (prefix, prefix + "\U0010ffff")).fetchone()[0])
+        return self._read(
+            lambda connection: connection.execute(
+                "SELECT COUNT(*) FROM items WHERE key >= ? AND key < ?", (prefix, prefix + "\U0010ffff")
+            ).fetchone()[0]
+        )
 
     @staticmethod
     def _revision(connection: sqlite3.Connection) -> int:
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -50,14 +50,14 @@
             if path == wire.PATH_ITEMS and method == "GET":
                 return self._items(_arguments(query))
             if path.startswith(wire.PATH_ITEM) and method == "GET":
-                return self._item(unquote(path[len(wire.PATH_ITEM):]))
+                return self._item(unquote(path[len(wire.PATH_ITEM) :]))
             if path == wire.PATH_CHANGES and method == "GET":
                 return self._changes(_arguments(query))
             if path == PATH_LEASES and method == "POST":
                 asked = msgspec.convert(body, wire.LeaseRequest)
                 return 200, wire.lease(self.engine.grant(asked.life_ms, patience))
             if path.startswith(PATH_LEASES + "/"):
-                return self._lease(method, path[len(PATH_LEASES) + 1:], patience)
+                return self._lease(method, path[len(PATH_LEASES) + 1 :], patience)
         except (Malformed, msgspec.ValidationError) as error:
             return 400, {"error": str(error)}
         except Failed as error:
@@ -104,8 +104,9 @@
 
     def _items(self, arguments: dict[str, str]) -> Answer:
         most = min(MOST_ITEMS, max(1, _whole(arguments, "page", MOST_ITEMS)))
-        rows, more, revision = self.engine.items(arguments.get("under", ""), arguments.get("from", ""), most,
-                                                 MOST_ITEMS_BYTES)
+        rows, more, revision = self.engine.items(
+            arguments.get("under", ""), arguments.get("from", ""), most, MOST_ITEMS_BYTES
+        )
         return 200, wire.items([wire.item(row.key, row.value, row.version, row.lease) for row in rows], more, revision)
 
     def _changes(self, arguments: dict[str, str]) -> Answer:
@@ -116,8 +117,18 @@
             rows, revision = self.engine.feed.since(arguments.get("under", ""), _whole(arguments, "from", 0), wait_s)
         except TooOld:
             return 410, {"error": "too old: read the keys again"}
-        return 200, wire.changes([wire.change(row.key, None if row.value is None else msgspec.json.decode(row.value),
-                                              row.version, row.value is None) for row in rows], revision)
+        return 200, wire.changes(
+            [
+                wire.change(
+                    row.key,
+                    None if row.value is None else msgspec.json.decode(row.value),
+                    row.version,
+                    row.value is None,
+                )
+                for row in rows
+            ],
+            revision,
+        )
 
     def _lease(self, method: str, rest: str, patience: float) -> Answer:
         number, _, action = rest.partition("/")
--- a/tidebend/logs.py
+++ b/tidebend/logs.py
@@ -15,15 +15,21 @@
 
 
 def configure() -> None:
-    shared = [structlog.stdlib.add_log_level, structlog.stdlib.add_logger_name,
-              structlog.processors.TimeStamper(fmt="iso", utc=True)]
+    shared = [
+        structlog.stdlib.add_log_level,
+        structlog.stdlib.add_logger_name,
+        structlog.processors.TimeStamper(fmt="iso", utc=True),
+    ]
     if os.environ.get("LOG_FORMAT") == "json":
         shown = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     else:
         shown = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), pad_event_to=0)]
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(structlog.stdlib.ProcessorFormatter(
-        foreign_pre_chain=shared, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *shown]))
+    handler.setFormatter(
+        structlog.stdlib.ProcessorFormatter(
+            foreign_pre_chain=shared, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *shown]
+        )
+    )
     root = logging.getLogger()
     root.handlers = [handler]
     root.setLevel(LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO))
--- a/tidebend/protocol/cloud.py
+++ b/tidebend/protocol/cloud.py
@@ -8,8 +8,18 @@
 
 from tidebend.protocol import PATH_RELEASE, PATH_RENT, PATH_TYPES
 
-__all__ = ["PATH_RELEASE", "PATH_RENT", "PATH_TYPES", "Release", "Rental", "listed", "listing", "machine_type", "names",
-           "types"]
+__all__ = [
+    "PATH_RELEASE",
+    "PATH_RENT",
+    "PATH_TYPES",
+    "Release",
+    "Rental",
+    "listed",
+    "listing",
+    "machine_type",
+    "names",
+    "types",
+]
 
 
 class Rental(msgspec.Struct, frozen=True):
@@ -28,10 +38,21 @@
     return {"fleet": machines}
 
 
-def machine_type(name: str, cpus: float, gpus: float, memory_gb: float, disk_gb: float, price: float, boot_s: float,
-                 zones: list[str]) -> dict[str, Any]:
-    return {"name": name, "vcpus": cpus, "accelerators": gpus, "memoryGb": memory_gb, "localGb": disk_gb,
-            "fetchGbPerS": 1.0, "price": price, "spotPrice": price, "startupS": boot_s, "harbors": zones}
+def machine_type(
+    name: str, cpus: float, gpus: float, memory_gb: float, disk_gb: float, price: float, boot_s: float, zones: list[str]
+) -> dict[str, Any]:
+    return {
+        "name": name,
+        "vcpus": cpus,
+        "accelerators": gpus,
+        "memoryGb": memory_gb,
+        "localGb": disk_gb,
+        "fetchGbPerS": 1.0,
+        "price": price,
+        "spotPrice": price,
+        "startupS": boot_s,
+        "harbors": zones,
+    }
 
 
 def types(rows: list[dict[str, Any]]) -> dict[str, Any]:
@@ -40,8 +61,15 @@
 
 def listed(name: str, address: str | None, kind: str, zone: str, state: str, age_s: float) -> dict[str, Any]:
     state = {"booting": "starting"}.get(state, state)
-    return {"id": name, "address": address, "hull": kind, "harbor": zone, "driftwood": False, "tide": state,
-            "heldS": age_s}
+    return {
+        "id": name,
+        "address": address,
+        "hull": kind,
+        "harbor": zone,
+        "driftwood": False,
+        "tide": state,
+        "heldS": age_s,
+    }
 
 
 def listing(rows: list[dict[str, Any]], more: bool) -> dict[str, Any]:
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -34,15 +34,39 @@
     deadline_s: float | None
 
     def pack(self) -> list[Any]:
-        return [self.job_class, self.team, self.kind, self.priority, self.tasks, self.cpus, self.gpus,
-                self.memory_gb, self.image, self.image_gb, list(self.types) if self.types is not None else None,
-                self.zone, int(self.one_zone), int(self.spread), int(self.spot), self.estimate_s,
-                self.checkpoint_s, self.save_s, self.deadline_s]
+        return [
+            self.job_class,
+            self.team,
+            self.kind,
+            self.priority,
+            self.tasks,
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.image,
+            self.image_gb,
+            list(self.types) if self.types is not None else None,
+            self.zone,
+            int(self.one_zone),
+            int(self.spread),
+            int(self.spot),
+            self.estimate_s,
+            self.checkpoint_s,
+            self.save_s,
+            self.deadline_s,
+        ]
 
     @staticmethod
     def unpack(row: list[Any]) -> JobSpec:
-        return JobSpec(*row[:10], tuple(row[10]) if row[10] is not None else None, row[11], bool(row[12]),
-                       bool(row[13]), bool(row[14]), *row[15:])
+        return JobSpec(
+            *row[:10],
+            tuple(row[10]) if row[10] is not None else None,
+            row[11],
+            bool(row[12]),
+            bool(row[13]),
+            bool(row[14]),
+            *row[15:],
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,10 +86,13 @@
         return image_gb / max(self.fetch_gb_per_s, 1e-6)
 
     def fits(self, spec: JobSpec) -> bool:
-        return (spec.cpus <= self.cpus + 1e-6 and spec.gpus <= self.gpus + 1e-6
-                and spec.memory_gb <= self.memory_gb + 1e-6
-                and (spec.types is None or self.name in spec.types)
-                and (spec.zone is None or spec.zone in self.zones))
+        return (
+            spec.cpus <= self.cpus + 1e-6
+            and spec.gpus <= self.gpus + 1e-6
+            and spec.memory_gb <= self.memory_gb + 1e-6
+            and (spec.types is None or self.name in spec.types)
+            and (spec.zone is None or spec.zone in self.zones)
+        )
 
 
 @dataclass(frozen=True, slots=True)
--- a/tidebend/protocol/fields.py
+++ b/tidebend/protocol/fields.py
@@ -10,8 +10,9 @@
     """A message from outside is malformed; the text names the field."""
 
 
-def number(body: dict[str, Any], key: str, least: float = 0.0, default: float | None = None,
-            above: bool = False) -> float:
+def number(
+    body: dict[str, Any], key: str, least: float = 0.0, default: float | None = None, above: bool = False
+) -> float:
     value = body.get(key)
     if value is None and default is not None:
         return default
--- a/tidebend/protocol/jobs.py
+++ b/tidebend/protocol/jobs.py
@@ -30,8 +30,12 @@
 
 def parse_job(body: dict[str, Any]) -> JobSpec:
     types = body.get("hulls")
-    if types is not None and (not isinstance(types, list) or not types or len(types) > 100
-                              or any(not isinstance(name, str) or not 0 < len(name) <= 100 for name in types)):
+    if types is not None and (
+        not isinstance(types, list)
+        or not types
+        or len(types) > 100
+        or any(not isinstance(name, str) or not 0 < len(name) <= 100 for name in types)
+    ):
         raise Invalid("hulls must be null or a list of machine types")
     zone = body.get("harbor")
     if zone is not None and (not isinstance(zone, str) or not zone or len(zone) > 200):
--- a/tidebend/protocol/machines.py
+++ b/tidebend/protocol/machines.py
@@ -22,11 +22,18 @@
             raise Invalid("hulls must hold objects")
         name = text(row, "name")
         price = number(row, "price")
-        types[name] = MachineType(name, number(row, "vcpus"), number(row, "accelerators", default=0.0),
-                                  number(row, "memoryGb"), number(row, "localGb", default=0.0),
-                                  number(row, "fetchGbPerS", default=1.0), price,
-                                  number(row, "spotPrice", default=price), number(row, "startupS", default=0.0),
-                                  tuple(str(zone) for zone in row.get("harbors") or []))
+        types[name] = MachineType(
+            name,
+            number(row, "vcpus"),
+            number(row, "accelerators", default=0.0),
+            number(row, "memoryGb"),
+            number(row, "localGb", default=0.0),
+            number(row, "fetchGbPerS", default=1.0),
+            price,
+            number(row, "spotPrice", default=price),
+            number(row, "startupS", default=0.0),
+            tuple(str(zone) for zone in row.get("harbors") or []),
+        )
     return types
 
 
@@ -58,7 +65,15 @@
         if not isinstance(row, dict):
             raise Invalid("fleet must hold objects")
         state = {"starting": "booting"}.get(row.get("tide"), row.get("tide"))
-        listed.append(ListedMachine(text(row, "id"), address(row.get("address")), text(row, "hull"),
-                                    text(row, "harbor"), row.get("driftwood") is True, str(state),
-                                    number(row, "heldS", default=0.0)))
+        listed.append(
+            ListedMachine(
+                text(row, "id"),
+                address(row.get("address")),
+                text(row, "hull"),
+                text(row, "harbor"),
+                row.get("driftwood") is True,
+                str(state),
+                number(row, "heldS", default=0.0),
+            )
+        )
     return listed, body.get("more") is True
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -33,23 +33,42 @@
         if state not in TASK_STATES:
             raise Invalid("tide is not a task state")
         why = row.get("cause")
-        tasks.append(TaskReport(job, int(index), count(row, "launch", 0, top), state,
-                                why if isinstance(why, str) else None, row.get("stored") is True))
+        tasks.append(
+            TaskReport(
+                job,
+                int(index),
+                count(row, "launch", 0, top),
+                state,
+                why if isinstance(why, str) else None,
+                row.get("stored") is True,
+            )
+        )
     if len({(task.job, task.index, task.attempt) for task in tasks}) < len(tasks):
         raise Invalid("pieces names a task's attempt twice")
     notice = body.get("warningS")
     machine = text(body, "vessel")
     if not NAME.match(machine):
         raise Invalid("vessel is not a machine's name")
-    return Report(machine, address(body.get("address")), text(body, "hull"), text(body, "harbor"),
-                  body.get("driftwood") is True, count(body, "watch", 0, top), count(body, "tally", 0, top),
-                  count(body, "helm", 0, top), None if notice is None else number(body, "warningS", -1e9),
-                  tuple(tasks))
+    return Report(
+        machine,
+        address(body.get("address")),
+        text(body, "hull"),
+        text(body, "harbor"),
+        body.get("driftwood") is True,
+        count(body, "watch", 0, top),
+        count(body, "tally", 0, top),
+        count(body, "helm", 0, top),
+        None if notice is None else number(body, "warningS", -1e9),
+        tuple(tasks),
+    )
 
 
 def _command(command: Command) -> dict[str, Any]:
-    row: dict[str, Any] = {"order": {"start": "start", "stop": "kill", "forget": "clear"}[command.op],
-                           "piece": task_name(command.job, command.index), "launch": command.attempt}
+    row: dict[str, Any] = {
+        "order": {"start": "start", "stop": "kill", "forget": "clear"}[command.op],
+        "piece": task_name(command.job, command.index),
+        "launch": command.attempt,
+    }
     if command.op == "stop":
         row["slackS"] = command.grace_s
     return row
--- a/tidebend/protocol/user.py
+++ b/tidebend/protocol/user.py
@@ -14,12 +14,28 @@
 
 def job(name: str, spec: JobSpec, awaits: tuple[str, ...] = ()) -> dict[str, Any]:
     """The body that submits a job."""
-    body = {"id": name, "tier": spec.job_class, "crew": spec.team, "shape": _SHAPES[spec.kind],
-            "rank": _RANKS[spec.priority], "pieces": spec.tasks, "vcpus": spec.cpus, "accelerators": spec.gpus,
-            "memoryGb": spec.memory_gb, "cargo": spec.image, "sizeGb": spec.image_gb,
-            "hulls": list(spec.types) if spec.types else None, "harbor": spec.zone, "samePlace": spec.one_zone,
-            "spread": spec.spread, "driftwood": spec.spot, "reckonS": spec.estimate_s, "markS": spec.checkpoint_s,
-            "stowS": spec.save_s, "dueS": spec.deadline_s}
+    body = {
+        "id": name,
+        "tier": spec.job_class,
+        "crew": spec.team,
+        "shape": _SHAPES[spec.kind],
+        "rank": _RANKS[spec.priority],
+        "pieces": spec.tasks,
+        "vcpus": spec.cpus,
+        "accelerators": spec.gpus,
+        "memoryGb": spec.memory_gb,
+        "cargo": spec.image,
+        "sizeGb": spec.image_gb,
+        "hulls": list(spec.types) if spec.types else None,
+        "harbor": spec.zone,
+        "samePlace": spec.one_zone,
+        "spread": spec.spread,
+        "driftwood": spec.spot,
+        "reckonS": spec.estimate_s,
+        "markS": spec.checkpoint_s,
+        "stowS": spec.save_s,
+        "dueS": spec.deadline_s,
+    }
     if awaits:
         body["awaits"] = list(awaits)
     return body
--- a/tidebend/protocol/worker.py
+++ b/tidebend/protocol/worker.py
@@ -14,16 +14,28 @@
 PATH_DIRECT = "/orders"
 ELSEWHERE = 421
 
-__all__ = ["ELSEWHERE", "PATH_DIRECT", "PATH_REPORT", "PATH_SHOW", "Answer", "Direct", "Task", "elsewhere",
-           "parse_answer", "parse_direct", "report"]
+__all__ = [
+    "ELSEWHERE",
+    "PATH_DIRECT",
+    "PATH_REPORT",
+    "PATH_SHOW",
+    "Answer",
+    "Direct",
+    "Task",
+    "elsewhere",
+    "parse_answer",
+    "parse_direct",
+    "report",
+]
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _Order(msgspec.Struct, frozen=True):
     op: Literal["start", "kill", "clear"] = msgspec.field(name="order")
-    task: Annotated[str, msgspec.Meta(pattern=r"^req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}/[0-9]{1,6}$")] = \
-        msgspec.field(name="piece")
+    task: Annotated[str, msgspec.Meta(pattern=r"^req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}/[0-9]{1,6}$")] = msgspec.field(
+        name="piece"
+    )
     attempt: Count = msgspec.field(name="launch")
     grace_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="slackS", default=0.0)
 
@@ -100,7 +112,27 @@
         return None
 
 
-def report(machine: str, address: str, kind: str, zone: str, spot: bool, session: int, sequence: int, token: int,
-           notice_s: float | None, tasks: list[Task]) -> dict[str, Any]:
-    return {"vessel": machine, "address": address, "hull": kind, "harbor": zone, "driftwood": spot, "watch": session,
-            "tally": sequence, "helm": token, "warningS": notice_s, "pieces": [task.row() for task in tasks]}
+def report(
+    machine: str,
+    address: str,
+    kind: str,
+    zone: str,
+    spot: bool,
+    session: int,
+    sequence: int,
+    token: int,
+    notice_s: float | None,
+    tasks: list[Task],
+) -> dict[str, Any]:
+    return {
+        "vessel": machine,
+        "address": address,
+        "hull": kind,
+        "harbor": zone,
+        "driftwood": spot,
+        "watch": session,
+        "tally": sequence,
+        "helm": token,
+        "warningS": notice_s,
+        "pieces": [task.row() for task in tasks],
+    }
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -89,8 +89,14 @@
             diary.note(nonce=nonce, session="0", token="0")
         diary.close()
         settings = directory / "agent.hcl"
-        rows = {"control": self._control, "key_file": str(self._key_file), "data": str(directory), "kind": kind,
-                "label": name, "alone_leases": self._alone_leases}
+        rows = {
+            "control": self._control,
+            "key_file": str(self._key_file),
+            "data": str(directory),
+            "kind": kind,
+            "label": name,
+            "alone_leases": self._alone_leases,
+        }
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
         if self._tls is not None:  # the same as ours, since it is on the same machine
             rows = {key: str(Path(value).absolute()) for key, value in msgspec.structs.asdict(self._tls).items()}
@@ -107,9 +113,14 @@
             del os.environ["TIDEBEND_AGENT_FAULT"]  # for one agent, once
         with open(place, "ab") as out:
             # in a session of its own: it outlives us, and Ctrl-C at our terminal is ours alone
-            return subprocess.Popen([sys.executable, "-m", "tidebend", "agent", "--config", str(settings)],
-                                    stdin=subprocess.DEVNULL, stdout=out, stderr=out, env=environment,
-                                    start_new_session=True)
+            return subprocess.Popen(
+                [sys.executable, "-m", "tidebend", "agent", "--config", str(settings)],
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                env=environment,
+                start_new_session=True,
+            )
 
     def end(self, name: str, timeout: float = 10.0) -> bool:
         """End it and all that it ran; True once that is certain, and it won't come back."""
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -78,9 +78,15 @@
 
 
 class Provider:
-    def __init__(self, engine: Engine, zone: str, kinds: dict[str, Kind], processes: AgentProcesses,
-                 connect: Callable[[tuple[str, int]], HttpClient],
-                 address_of: Callable[[str], tuple[str, int] | None]) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        zone: str,
+        kinds: dict[str, Kind],
+        processes: AgentProcesses,
+        connect: Callable[[tuple[str, int]], HttpClient],
+        address_of: Callable[[str], tuple[str, int] | None],
+    ) -> None:
         self._engine = engine
         self._zone = zone
         self._kinds = kinds
@@ -102,7 +108,7 @@
             for row in rows:
                 machine = msgspec.convert(row.value, Machine)
                 if not machine.gone:
-                    self._machines[row.key[len(MACHINE):]] = (machine, row.version)
+                    self._machines[row.key[len(MACHINE) :]] = (machine, row.version)
             if not more:
                 return
             after = rows[-1].key
@@ -111,16 +117,16 @@
         with self._lock:
             return {name: machine for name, (machine, _) in self._machines.items()}
 
-    def _make(self, kind: str, here: bool, count: int, label: str, nonce: str | None,
-              charter: str | None) -> list[str]:
+    def _make(self, kind: str, here: bool, count: int, label: str, nonce: str | None, charter: str | None) -> list[str]:
         """New machines, and the charter or nonce under which they were asked for, in one durable step."""
         counter, _ = self._engine.get(COUNTER)
         number = counter.value if counter else 0
         made = {}
         for offset in range(count):
             own = nonce or uuid.uuid4().hex
-            made[f"vm-{number + 1 + offset:06d}"] = Machine(kind, self._zone, here, own, label, time.time(),
-                                                            joined=not here)
+            made[f"vm-{number + 1 + offset:06d}"] = Machine(
+                kind, self._zone, here, own, label, time.time(), joined=not here
+            )
         writes = [Write(COUNTER, msgspec.json.encode(number + count))]
         writes += [Write(MACHINE + name, msgspec.json.encode(machine)) for name, machine in made.items()]
         writes += [Write(NONCE + machine.nonce, msgspec.json.encode(name)) for name, machine in made.items()]
@@ -134,8 +140,9 @@
     def _change(self, name: str, machine: Machine) -> None:
         with self._lock:
             _, version = self._machines[name]
-        revision = self._engine.transact({MACHINE + name: version},
-                                         [Write(MACHINE + name, msgspec.json.encode(machine))])
+        revision = self._engine.transact(
+            {MACHINE + name: version}, [Write(MACHINE + name, msgspec.json.encode(machine))]
+        )
         with self._lock:
             if machine.gone:
                 del self._machines[name]
@@ -186,9 +193,14 @@
         path, _, query = path.partition("?")
         try:
             if path == wire.PATH_TYPES:
-                return 200, wire.types([wire.machine_type(name, kind.cpus, kind.gpus, kind.memory_gb, 1000.0,
-                                                          kind.price, 1.0, [self._zone])
-                                        for name, kind in self._kinds.items()])
+                return 200, wire.types(
+                    [
+                        wire.machine_type(
+                            name, kind.cpus, kind.gpus, kind.memory_gb, 1000.0, kind.price, 1.0, [self._zone]
+                        )
+                        for name, kind in self._kinds.items()
+                    ]
+                )
             if path == wire.PATH_RELEASE and method == "POST":
                 return self._release(msgspec.convert(body, wire.Release).machines)
             if path == wire.PATH_RENT and method == "POST":
@@ -226,9 +238,16 @@
         machines = sorted((name, machine) for name, machine in self.machines().items() if name > after)
         for name, machine in machines[:most]:
             address = self._address_of(name)
-            rows.append(wire.listed(name, f"{address[0]}:{address[1]}" if address else None, machine.kind,
-                                    machine.zone, "running" if machine.joined else "booting",
-                                    max(0.0, now - machine.made)))
+            rows.append(
+                wire.listed(
+                    name,
+                    f"{address[0]}:{address[1]}" if address else None,
+                    machine.kind,
+                    machine.zone,
+                    "running" if machine.joined else "booting",
+                    max(0.0, now - machine.made),
+                )
+            )
         return wire.listing(rows, len(machines) > most)
 
     def _release(self, names: list[str]) -> tuple[int, Any]:
--- a/tidebend/quota/team_usage.py
+++ b/tidebend/quota/team_usage.py
@@ -27,8 +27,12 @@
 
     def plus(self, spec: JobSpec, tasks: int) -> Usage:
         cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
-        return replace(self, cpus=amount(self.cpus + cpus), gpus=amount(self.gpus + gpus),
-                       charged=(amount(self.charged[0] + cpus), amount(self.charged[1] + gpus)))
+        return replace(
+            self,
+            cpus=amount(self.cpus + cpus),
+            gpus=amount(self.gpus + gpus),
+            charged=(amount(self.charged[0] + cpus), amount(self.charged[1] + gpus)),
+        )
 
     def less(self, amounts: Amounts) -> Usage:
         """Without these amounts, which are to be given back in the same transaction, or soon."""
@@ -40,8 +44,9 @@
 
     def without(self, spec: JobSpec, tasks: int) -> Usage:
         """A job is over: the record no longer counts what it claimed, all of which had ended."""
-        return replace(self, charged=(amount(self.charged[0] - spec.cpus * tasks),
-                                      amount(self.charged[1] - spec.gpus * tasks)))
+        return replace(
+            self, charged=(amount(self.charged[0] - spec.cpus * tasks), amount(self.charged[1] - spec.gpus * tasks))
+        )
 
     def pack(self) -> list[float]:
         return list(self.charged)
--- a/tidebend/quota/usage_index.py
+++ b/tidebend/quota/usage_index.py
@@ -24,14 +24,14 @@
         """Take over a team's record; other keys don't matter here."""
         if key.startswith(TEAM):
             if value is None:
-                self._charged.pop(key[len(TEAM):], None)
+                self._charged.pop(key[len(TEAM) :], None)
             else:
-                self._charged[key[len(TEAM):]] = (value[0], value[1], version)
+                self._charged[key[len(TEAM) :]] = (value[0], value[1], version)
         elif key.startswith(QUOTA):
             if value is None:
-                self._shares.pop(key[len(QUOTA):], None)
+                self._shares.pop(key[len(QUOTA) :], None)
             else:
-                self._shares[key[len(QUOTA):]] = Shares(version, {zone: tuple(row) for zone, row in value.items()})
+                self._shares[key[len(QUOTA) :]] = Shares(version, {zone: tuple(row) for zone, row in value.items()})
 
     def count_claim(self, spec: JobSpec, zone: str, tasks: int) -> None:
         """`tasks` more of a job hold places in a zone, or fewer."""
--- a/tidebend/quota/zone_quotas.py
+++ b/tidebend/quota/zone_quotas.py
@@ -35,11 +35,13 @@
 def within(need: Amounts, share: Amounts, limit: Team) -> bool:
     """Whether a need keeps to a share, in what is limited at all."""
     return (limit.cpus_max is None or need[0] <= share[0] + 1e-6) and (
-        limit.gpus_max is None or need[1] <= share[1] + 1e-6)
+        limit.gpus_max is None or need[1] <= share[1] + 1e-6
+    )
 
 
-def raised(zones: dict[str, Amounts], needs: dict[str, Amounts], grown: list[str], limit: Team,
-           every: int) -> dict[str, Amounts] | None:
+def raised(
+    zones: dict[str, Amounts], needs: dict[str, Amounts], grown: list[str], limit: Team, every: int
+) -> dict[str, Amounts] | None:
     """The shares with which claims in the zones `grown` keep the limit; None if they can't.
 
     `zones`: the shares now, returned as they are if they suffice; `needs`: what is used in the zones that are the
@@ -55,8 +57,10 @@
         return None
     ahead = AHEAD / max(1, every * len(grown))
     for zone in grown:
-        zones[zone] = tuple(need + ahead * max(0.0, (most or 0.0) - taken) for need, most, taken in zip(
-            needs[zone], (limit.cpus_max, limit.gpus_max), total, strict=True))
+        zones[zone] = tuple(
+            need + ahead * max(0.0, (most or 0.0) - taken)
+            for need, most, taken in zip(needs[zone], (limit.cpus_max, limit.gpus_max), total, strict=True)
+        )
     return zones
 
 
--- a/tidebend/scheduling/__init__.py
+++ b/tidebend/scheduling/__init__.py
@@ -6,5 +6,23 @@
 from tidebend.scheduling.value_functions import Demand, Value, demands, is_reserved, own_demand, value_of
 from tidebend.scheduling.value_per_resource import map_tasks
 
-__all__ = ["EPSILON", "Amount", "Demand", "Owed", "Place", "Placement", "Timeline", "Value", "Want", "allowed_on",
-           "demands", "is_reserved", "largest_share", "map_tasks", "need_of", "own_demand", "times_fit", "value_of"]
+__all__ = [
+    "EPSILON",
+    "Amount",
+    "Demand",
+    "Owed",
+    "Place",
+    "Placement",
+    "Timeline",
+    "Value",
+    "Want",
+    "allowed_on",
+    "demands",
+    "is_reserved",
+    "largest_share",
+    "map_tasks",
+    "need_of",
+    "own_demand",
+    "times_fit",
+    "value_of",
+]
--- a/tidebend/scheduling/gang_placement.py
+++ b/tidebend/scheduling/gang_placement.py
@@ -16,8 +16,11 @@
     usable.sort(key=lambda place: (place.fetch_s(want.spec), place.name))
     groups: list[list[Place]] = [usable]
     if want.spec.one_zone:
-        groups = [[place for place in usable if place.zone == zone] for zone in sorted({p.zone for p in usable})
-                  if want.zone_room(zone) > 0]
+        groups = [
+            [place for place in usable if place.zone == zone]
+            for zone in sorted({p.zone for p in usable})
+            if want.zone_room(zone) > 0
+        ]
     for start in starts:
         for group in groups:
             found: list[tuple[Place, int, float]] = []
@@ -39,6 +42,7 @@
                 finish = start + max(length for _, _, length in found)
                 for place, tasks, _ in found:
                     place.timeline.take(start, finish, tuple(part * tasks for part in need))
-                return [Placement(want.job, place.name, tasks, start, finish, start <= now)
-                        for place, tasks, _ in found]
+                return [
+                    Placement(want.job, place.name, tasks, start, finish, start <= now) for place, tasks, _ in found
+                ]
     return None
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -31,8 +31,7 @@
         return self.type.fetch_s(spec.image_gb) * (1 + self.fetching)
 
     def allowed(self, spec: JobSpec) -> bool:
-        return (spec.spot or not self.spot) and self.type.fits(spec) and (
-            spec.zone is None or spec.zone == self.zone)
+        return (spec.spot or not self.spot) and self.type.fits(spec) and (spec.zone is None or spec.zone == self.zone)
 
 
 @dataclass(slots=True)
--- a/tidebend/scheduling/value_functions.py
+++ b/tidebend/scheduling/value_functions.py
@@ -64,8 +64,9 @@
         for other in after.get(name, ()):
             if other in found:
                 ask, takes = found[other], length[other]
-                demand = Demand(max(demand.rank, ask.rank), min(demand.soft, ask.soft - takes),
-                                min(demand.hard, ask.hard - takes))
+                demand = Demand(
+                    max(demand.rank, ask.rank), min(demand.soft, ask.soft - takes), min(demand.hard, ask.hard - takes)
+                )
         found[name] = demand
     return found
 
--- a/tidebend/scheduling/value_per_resource.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -27,16 +27,16 @@
         free = place.timeline.free[0]
         if free[0] + EPSILON < self._least:
             return False
-        return any(want.waiting > 0 and times_fit(free, need) and allowed_on(want, place)
-                   for want, need in self._needs)
+        return any(want.waiting > 0 and times_fit(free, need) and allowed_on(want, place) for want, need in self._needs)
 
     def look_again(self, place: Place) -> None:
         if place.name in self.names and not self._any(place):
             self.names.discard(place.name)
 
 
-def map_tasks(wants: list[Want], places: list[Place], now: float, horizon: float,
-              owed: dict[str, Owed] | None = None) -> list[Placement]:
+def map_tasks(
+    wants: list[Want], places: list[Place], now: float, horizon: float, owed: dict[str, Owed] | None = None
+) -> list[Placement]:
     """One mapping event. The place-holders in the result guard their slots within it, and lapse with it.
 
     `owed`: what teams still have to get of their guarantees; it shrinks by what is placed.
@@ -76,8 +76,9 @@
         if not startable.names or not entries:
             return
         # the other machines in the order in which the first task on each ends
-        order = sorted((place.timeline.times[1], spot) for spot, place in enumerate(places)
-                       if len(place.timeline.times) > 1)
+        order = sorted(
+            (place.timeline.times[1], spot) for spot, place in enumerate(places) if len(place.timeline.times) > 1
+        )
         offered: dict[int, set[int]] = {}
         looked: dict[int, int] = {}  # entry -> how far into that order it has looked
 
@@ -101,8 +102,11 @@
             # Slots on other machines are computed a few at a time, once the want's best one may be among them: none
             # begins before the first task there ends.
             need = need_of(want.spec)
-            offered[entry] = {spot for spot in open_set if times_fit(places[spot].timeline.free[0], need)
-                              and allowed_on(want, places[spot])}
+            offered[entry] = {
+                spot
+                for spot in open_set
+                if times_fit(places[spot].timeline.free[0], need) and allowed_on(want, places[spot])
+            }
             looked[entry] = 0
             for spot in offered[entry]:
                 offer(entry, spot)
@@ -115,10 +119,13 @@
             if spot < 0:
                 want, at = entries[entry], looked[entry]
                 looked[entry] = at + LOOK
-                for _, spot in order[at:at + LOOK]:
+                for _, spot in order[at : at + LOOK]:
                     place = places[spot]
-                    if (spot not in offered[entry] and allowed_on(want, place)
-                            and (not place.changes or place.name in startable.names)):
+                    if (
+                        spot not in offered[entry]
+                        and allowed_on(want, place)
+                        and (not place.changes or place.name in startable.names)
+                    ):
                         offer(entry, spot)
                 look_later(entry)
                 continue
@@ -129,14 +136,12 @@
                 continue
             finish, start = slot[1], slot[6]
             need = need_of(want.spec)
-            tasks = min(most(want, limited), want.zone_room(place.zone),
-                        place.timeline.room(start, finish, need))
+            tasks = min(most(want, limited), want.zone_room(place.zone), place.timeline.room(start, finish, need))
             if tasks < 1:
                 continue
             if want.service:
                 tasks = 1  # replicas are told apart by where they run
-            place.timeline.take(start, math.inf if want.service else finish,
-                                tuple(part * tasks for part in need))
+            place.timeline.take(start, math.inf if want.service else finish, tuple(part * tasks for part in need))
             place.changes += 1
             starts = start <= now
             if starts and place.fetch_s(want.spec) > 0:
@@ -166,8 +171,9 @@
     least = min((want.value.start for want in others if want.job in promised), default=math.inf)
 
     def in_order(entries: list[Want], owed_only: frozenset[str]) -> None:
-        for want in sorted((want for want in entries if want.reserved is not None),
-                           key=lambda want: (want.reserved, want.job)):
+        for want in sorted(
+            (want for want in entries if want.reserved is not None), key=lambda want: (want.reserved, want.job)
+        ):
             run([want], owed_only)
         run([want for want in entries if want.reserved is None], owed_only)
 
--- a/tidebend/settings.py
+++ b/tidebend/settings.py
@@ -196,10 +196,12 @@
     if "next" not in state.table:
         return now
     table = state.table_of("next")
-    return Limits(min(now.rps, table.number("rps", 0.001, default=now.rps)),
-                  min(now.write_rps, table.number("write_rps", 0.001, default=now.write_rps)),
-                  min(now.value_bytes, int(table.number("value_kb", 0.1, default=now.value_bytes / 1024) * 1024)),
-                  min(now.txn_ops, int(table.number("txn_ops", 2, default=now.txn_ops))))
+    return Limits(
+        min(now.rps, table.number("rps", 0.001, default=now.rps)),
+        min(now.write_rps, table.number("write_rps", 0.001, default=now.write_rps)),
+        min(now.value_bytes, int(table.number("value_kb", 0.1, default=now.value_bytes / 1024) * 1024)),
+        min(now.txn_ops, int(table.number("txn_ops", 2, default=now.txn_ops))),
+    )
 
 
 def read_settings(table: dict[str, Any], knobs: Knobs) -> Settings:
@@ -210,14 +212,23 @@
     deployment = top.table_of("deployment")
     workers = deployment.table_of("workers")
     state = deployment.table_of("state")
-    limits = Limits(state.number("rps", 0.001), state.number("write_rps", 0.001),
-                    int(state.number("value_kb", 0.1) * 1024), int(state.number("txn_ops", 2)))
+    limits = Limits(
+        state.number("rps", 0.001),
+        state.number("write_rps", 0.001),
+        int(state.number("value_kb", 0.1) * 1024),
+        int(state.number("txn_ops", 2)),
+    )
     cloud = deployment.table_of("cloud")
     teams = {}
     for row in deployment.tables("teams"):
         # a limit that is written as 0 is none
-        team = Team(row.text("name"), row.number("cpus", default=0.0), row.number("gpus", default=0.0),
-                    row.number("cpus_max", default=0.0) or None, row.number("gpus_max", default=0.0) or None)
+        team = Team(
+            row.text("name"),
+            row.number("cpus", default=0.0),
+            row.number("gpus", default=0.0),
+            row.number("cpus_max", default=0.0) or None,
+            row.number("gpus_max", default=0.0) or None,
+        )
         teams[team.name] = team
     start_aims = {}
     late_aims: dict[str, float] = {}
@@ -232,8 +243,7 @@
         zone=top.text("site"),
         listen=top.address("serve_on"),
         peer_listen=top.address("peer_bind"),
-        peers=tuple(Peer(row.text("member"), row.text("site"), row.address("address"))
-                    for row in top.tables("peers")),
+        peers=tuple(Peer(row.text("member"), row.text("site"), row.address("address")) for row in top.tables("peers")),
         cloud=outside.address("cloud"),
         state=outside.address("state"),
         zones=deployment.texts("zones"),
--- a/tidebend/transport/server.py
+++ b/tidebend/transport/server.py
@@ -22,8 +22,15 @@
 class Reply(Exception):
     """Thrown or returned by a handler: a status, a body and headers."""
 
-    def __init__(self, status: int, body: Any = None, headers: dict[str, str] | None = None,
-                 kind: str = "application/json", yields: bool = False, closes: bool = False) -> None:
+    def __init__(
+        self,
+        status: int,
+        body: Any = None,
+        headers: dict[str, str] | None = None,
+        kind: str = "application/json",
+        yields: bool = False,
+        closes: bool = False,
+    ) -> None:
         """`body` is sent as JSON, bytes as they are; `yields`: where connections are short, this one is closed;
         `closes`: it is closed in any case."""
         super().__init__(status)
@@ -89,8 +96,7 @@
         except Exception:
             log.exception("%s %s failed", self.command, self.path)
             reply = Reply(503, {"error": "internal"}, {"Retry-After": "1"})
-        if not self._read and (self.headers.get("Content-Length", "0") != "0"
-                               or self.headers.get("Transfer-Encoding")):
+        if not self._read and (self.headers.get("Content-Length", "0") != "0" or self.headers.get("Transfer-Encoding")):
             self.close_connection = True  # what follows on the connection is a body nobody read
         if reply.closes or (reply.yields and self.server.short):
             self.close_connection = True
@@ -99,8 +105,7 @@
         else:
             data = b"" if reply.body is None else json.dumps(reply.body, separators=(",", ":")).encode()
         reason = self.responses.get(reply.status, ("",))[0]
-        lines = [f"HTTP/1.1 {reply.status} {reason}", f"Content-Type: {reply.kind}",
-                 f"Content-Length: {len(data)}"]
+        lines = [f"HTTP/1.1 {reply.status} {reason}", f"Content-Type: {reply.kind}", f"Content-Length: {len(data)}"]
         lines += [f"{key}: {value}" for key, value in reply.headers.items()]
         if self.close_connection:
             lines.append("Connection: close")
@@ -131,8 +136,16 @@
     daemon_threads = True
     block_on_close = False
 
-    def __init__(self, address: tuple[str, int], route: Route, idle_s: float, body_s: float, most: int,
-                 handler: type[Handler] = Handler, backlog: int = 128) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        route: Route,
+        idle_s: float,
+        body_s: float,
+        most: int,
+        handler: type[Handler] = Handler,
+        backlog: int = 128,
+    ) -> None:
         """`backlog`: connections that may wait to be taken; they have sockets, too."""
         self.request_queue_size = backlog
         self.route = route
--- a/tidebend/zone_failover/evacuation.py
+++ b/tidebend/zone_failover/evacuation.py
@@ -48,7 +48,7 @@
     due: list[Standing] = []
     if serving and now >= hold.begin:
         turns = max(1.0, (hold.end - now) / turn_s)
-        due = serving[:math.ceil(len(serving) / turns)]
+        due = serving[: math.ceil(len(serving) / turns)]
     for row in sorted((row for row in standings if not row.replicas), key=order):
         if row.worth_s > 0.0:
             if now > hold.until + row.worth_s:
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -74,9 +74,18 @@
 
     def body(self) -> dict:
         self.sequence += 1
-        return {"vessel": self.name, "address": self.address, "hull": "light", "harbor": "here", "driftwood": False,
-                "watch": 1, "tally": self.sequence, "helm": self.token, "warningS": None,
-                "pieces": list(self.tasks.values())}
+        return {
+            "vessel": self.name,
+            "address": self.address,
+            "hull": "light",
+            "harbor": "here",
+            "driftwood": False,
+            "watch": 1,
+            "tally": self.sequence,
+            "helm": self.token,
+            "warningS": None,
+            "pieces": list(self.tasks.values()),
+        }
 
     def obey(self, orders: list[dict]) -> None:
         for order in orders:
@@ -119,8 +128,11 @@
 
 async def exchange(reader, writer, method: str, path: str, body: dict, key: str) -> tuple[int, dict]:
     data = json.dumps(body).encode()
-    writer.write(f"{method} {path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
-                 f"Content-Length: {len(data)}\r\n\r\n".encode() + data)
+    writer.write(
+        f"{method} {path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
+        f"Content-Length: {len(data)}\r\n\r\n".encode()
+        + data
+    )
     head, answer = await message(reader)
     if head is None:
         raise ConnectionError
@@ -139,9 +151,21 @@
     (directory / "control.hcl").write_text(SETTINGS % real)
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join([str(ROOT), *(part for part in sys.path if part)])}
     with open(directory / "log", "wb") as out:
-        control = subprocess.Popen([sys.executable, "-m", "tidebend", "control", "--config",
-                                    str(directory / "control.hcl"), "--data", str(directory)],
-                                   stdout=out, stderr=out, env=environment)
+        control = subprocess.Popen(
+            [
+                sys.executable,
+                "-m",
+                "tidebend",
+                "control",
+                "--config",
+                str(directory / "control.hcl"),
+                "--data",
+                str(directory),
+            ],
+            stdout=out,
+            stderr=out,
+            env=environment,
+        )
     while not (directory / "address").exists():
         time.sleep(0.05)
     return control, Desk(directory)
@@ -173,12 +197,16 @@
             await asyncio.sleep(0.2)
         for each in running:
             each.cancel()
-        return {"agents": agents, "reports_per_s": round(reports / passed, 1),
-                "core": round((after[0] - before[0]) / passed, 3),
-                "ms_a_report": round(1000 * (after[0] - before[0]) / max(1, reports), 2),
-                "memory_mb": round(after[1]), "threads": after[2],
-                "start_p50_ms": histogram.get_value_at_percentile(50) / 1000,
-                "start_p99_ms": histogram.get_value_at_percentile(99) / 1000}
+        return {
+            "agents": agents,
+            "reports_per_s": round(reports / passed, 1),
+            "core": round((after[0] - before[0]) / passed, 3),
+            "ms_a_report": round(1000 * (after[0] - before[0]) / max(1, reports), 2),
+            "memory_mb": round(after[1]),
+            "threads": after[2],
+            "start_p50_ms": histogram.get_value_at_percentile(50) / 1000,
+            "start_p99_ms": histogram.get_value_at_percentile(99) / 1000,
+        }
     finally:
         control.terminate()
         control.wait(20.0)
@@ -200,8 +228,12 @@
                 time.sleep(0.002)
             histogram.record_value(int((float(log.read_text().splitlines()[number]) - asked) * 1e6))
             time.sleep(0.8)  # the machine is idle again
-        return {"real agents": 1, "starts": tasks, "start_p50_ms": histogram.get_value_at_percentile(50) / 1000,
-                "start_p99_ms": histogram.get_value_at_percentile(99) / 1000}
+        return {
+            "real agents": 1,
+            "starts": tasks,
+            "start_p50_ms": histogram.get_value_at_percentile(50) / 1000,
+            "start_p99_ms": histogram.get_value_at_percentile(99) / 1000,
+        }
     finally:
         control.terminate()
         control.wait(20.0)
--- a/tools/bench_store.py
+++ b/tools/bench_store.py
@@ -60,8 +60,11 @@
             outcomes = []
             with self._env.begin(write=True) as writing:
                 for conditions, writes, answer in works:
-                    failed = [key for key, version in conditions.items()
-                              if int.from_bytes((writing.get(key.encode()) or b"")[:8], "big") != version]
+                    failed = [
+                        key
+                        for key, version in conditions.items()
+                        if int.from_bytes((writing.get(key.encode()) or b"")[:8], "big") != version
+                    ]
                     if failed:
                         outcomes.append((answer, ConditionFailed(failed, self.revision)))
                         continue
@@ -94,8 +97,9 @@
         while time.monotonic() < end:
             key = f"load/{number}/{draw.randrange(200)}"
             began = time.perf_counter()
-            versions[key] = store.transact({key: versions.get(key, 0)},
-                                           [Write(key, VALUE), Write(f"load/{number}/team", VALUE)])
+            versions[key] = store.transact(
+                {key: versions.get(key, 0)}, [Write(key, VALUE), Write(f"load/{number}/team", VALUE)]
+            )
             histograms[number].record_value(int((time.perf_counter() - began) * 1e6))
             counts[number] += 1
 
@@ -106,16 +110,21 @@
         thread.join()
     for other in histograms[1:]:
         histograms[0].add(other)
-    return {"tx_per_s": round(sum(counts) / seconds), "p50_ms": histograms[0].get_value_at_percentile(50) / 1000,
-            "p99_ms": histograms[0].get_value_at_percentile(99) / 1000}
+    return {
+        "tx_per_s": round(sum(counts) / seconds),
+        "p50_ms": histograms[0].get_value_at_percentile(50) / 1000,
+        "p99_ms": histograms[0].get_value_at_percentile(99) / 1000,
+    }
 
 
 def fill_sqlite(directory: Path, keys: int) -> None:
     Engine(directory).close()
     connection = connect(directory)
     connection.execute("BEGIN")
-    connection.executemany("INSERT INTO items VALUES (?, ?, ?, NULL)",
-                           ((f"final/{number:09}", VALUE, number + 1) for number in range(keys)))
+    connection.executemany(
+        "INSERT INTO items VALUES (?, ?, ?, NULL)",
+        ((f"final/{number:09}", VALUE, number + 1) for number in range(keys)),
+    )
     connection.execute("UPDATE facts SET value = ? WHERE name = 'revision'", (keys,))
     connection.execute("COMMIT")
     connection.close()
@@ -144,8 +153,13 @@
     lmdb_s = time.perf_counter() - began
     env.close()
     size = {name: sum(path.stat().st_size for path in (root / name).iterdir()) / 1e6 for name in ("sqlite", "lmdb")}
-    return {"keys": keys, "sqlite_s": round(sqlite_s, 3), "lmdb_s": round(lmdb_s, 3),
-            "sqlite_mb": round(size["sqlite"]), "lmdb_mb": round(size["lmdb"])}
+    return {
+        "keys": keys,
+        "sqlite_s": round(sqlite_s, 3),
+        "lmdb_s": round(lmdb_s, 3),
+        "sqlite_mb": round(size["sqlite"]),
+        "lmdb_mb": round(size["lmdb"]),
+    }
 
 
 def main() -> int:
@@ -157,16 +171,22 @@
     arguments = parser.parse_args()
     root = arguments.dir / "bench-store"
     shutil.rmtree(root, ignore_errors=True)
-    kinds = {"sqlite, shared syncs": lambda place: Engine(place), "sqlite, one a sync": lambda place: Engine(place),
-             "lmdb, shared syncs": lambda place: Lmdb(place, 256), "lmdb, one a sync": lambda place: Lmdb(place, 1)}
+    kinds = {
+        "sqlite, shared syncs": lambda place: Engine(place),
+        "sqlite, one a sync": lambda place: Engine(place),
+        "lmdb, shared syncs": lambda place: Lmdb(place, 256),
+        "lmdb, one a sync": lambda place: Lmdb(place, 1),
+    }
     most = engine_module.MOST_IN_A_SYNC
     for turn in range(arguments.rounds):
         for clients in (1, 8, 32):
             for name, make in kinds.items():
                 engine_module.MOST_IN_A_SYNC = 1 if "one" in name else most
                 store = make(root / f"{turn}-{clients}-{name.replace(' ', '')}")
-                print(json.dumps({"store": name, "clients": clients, **load(store, clients, arguments.seconds)}),
-                      flush=True)
+                print(
+                    json.dumps({"store": name, "clients": clients, **load(store, clients, arguments.seconds)}),
+                    flush=True,
+                )
                 store.close()
     for keys in arguments.keys:
         print(json.dumps(starts(root / str(keys), keys)), flush=True)
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -83,8 +83,11 @@
         self.settings = directory / "control.hcl"
         self.settings.write_text(SETTINGS)
         self.data = directory / "data"
-        self.environment = {**os.environ, "LOG_LEVEL": "info",
-                            "PYTHONPATH": os.pathsep.join([str(ROOT), *(part for part in sys.path if part)])}
+        self.environment = {
+            **os.environ,
+            "LOG_LEVEL": "info",
+            "PYTHONPATH": os.pathsep.join([str(ROOT), *(part for part in sys.path if part)]),
+        }
         self.control: subprocess.Popen | None = None
         self.far: subprocess.Popen | None = None
         self.control_back_at = 0.0
@@ -99,13 +102,26 @@
 
     def _spawn(self, *words: str, **more: str) -> subprocess.Popen:
         with open(self.directory / f"{words[0]}.log", "ab") as out:
-            return subprocess.Popen([sys.executable, "-m", "tidebend", *words], env={**self.environment, **more},
-                                    stdout=out, stderr=out, stdin=subprocess.DEVNULL, start_new_session=True)
+            return subprocess.Popen(
+                [sys.executable, "-m", "tidebend", *words],
+                env={**self.environment, **more},
+                stdout=out,
+                stderr=out,
+                stdin=subprocess.DEVNULL,
+                start_new_session=True,
+            )
 
     def start_control(self, fault: str = "", agent_fault: str = "") -> None:
         """`fault`: a point at which it is killed; `agent_fault`: one at which the first agent that it starts is."""
-        self.control = self._spawn("control", "--config", str(self.settings), "--data", str(self.data),
-                                   TIDEBEND_FAULT=fault, TIDEBEND_AGENT_FAULT=agent_fault)
+        self.control = self._spawn(
+            "control",
+            "--config",
+            str(self.settings),
+            "--data",
+            str(self.data),
+            TIDEBEND_FAULT=fault,
+            TIDEBEND_AGENT_FAULT=agent_fault,
+        )
 
     def _some_fault(self) -> tuple[str, str]:
         draw = self.random
@@ -118,8 +134,10 @@
         place = self.directory / "far"
         place.mkdir(exist_ok=True)
         path = place / "agent.hcl"
-        path.write_text(f'control = "{(self.data / "address").read_text().strip()}"\n'
-                        f'key_file = "{self.data / "keys.json"}"\ndata = "{place}"\nkind = "far"\n')
+        path.write_text(
+            f'control = "{(self.data / "address").read_text().strip()}"\n'
+            f'key_file = "{self.data / "keys.json"}"\ndata = "{place}"\nkind = "far"\n'
+        )
         self.far = self._spawn("agent", "--config", str(path))
 
     def _agents(self) -> list[int]:
@@ -141,8 +159,21 @@
     def trouble(self) -> None:
         now = time.monotonic()
         agents = self._agents()
-        kind = self.random.choice(["control", "control", "agent", "agent", "both", "far", "stop agent", "stop far",
-                                   "stop control", "all agents", "long"])
+        kind = self.random.choice(
+            [
+                "control",
+                "control",
+                "agent",
+                "agent",
+                "both",
+                "far",
+                "stop agent",
+                "stop far",
+                "stop control",
+                "all agents",
+                "long",
+            ]
+        )
         self.counts[kind] += 1
         if kind in ("control", "both", "long") and self.control.poll() is None:
             self.control.kill()
@@ -157,8 +188,11 @@
             self.far.kill()
             self.far_back_at = now + self.random.uniform(0, 4.0)
         if kind.startswith("stop"):
-            pid = {"stop agent": self.random.choice(agents) if agents else None, "stop far": self.far.pid,
-                   "stop control": self.control.pid}[kind]
+            pid = {
+                "stop agent": self.random.choice(agents) if agents else None,
+                "stop far": self.far.pid,
+                "stop control": self.control.pid,
+            }[kind]
             if pid is not None:
                 self._signal(pid, signal.SIGSTOP)
                 most = 2.0 * LEASE_S if kind != "stop control" else 1.2 * LEASE_S
@@ -184,12 +218,19 @@
         script = script.replace("{trap}", draw.choice(["", "", "", "trap '' TERM"]))
         script = script.replace("{child}", draw.choice(["", "", "", "setsid sleep 30 &"]))
         tasks = {"array": draw.randint(1, 8), "gang": draw.randint(2, 4), "service": 2}.get(kind, 2)
-        block = JobBlock(command=["sh", "-c", script], kind=kind if kind != "chain" else "array", tasks=tasks,
-                         cpus=draw.choice([0.2, 0.5, 1.0]), memory_gb=0.1, estimate_s=1.0,
-                         environment={"E": str(self.evidence)},
-                         priority=draw.choice(["low", "normal", "high"]) if kind != "service" else "production")
-        earlier = [name for name, row in self.asked.items() if row.accepted
-                   and row.ready.description.kind != "service"][-5:]
+        block = JobBlock(
+            command=["sh", "-c", script],
+            kind=kind if kind != "chain" else "array",
+            tasks=tasks,
+            cpus=draw.choice([0.2, 0.5, 1.0]),
+            memory_gb=0.1,
+            estimate_s=1.0,
+            environment={"E": str(self.evidence)},
+            priority=draw.choice(["low", "normal", "high"]) if kind != "service" else "production",
+        )
+        earlier = [
+            name for name, row in self.asked.items() if row.accepted and row.ready.description.kind != "service"
+        ][-5:]
         awaits = (draw.choice(earlier),) if kind == "chain" and earlier else ()
         name = new_id(kind)
         row = self.asked[name] = Asked(Ready(name, kind, block.spec(kind), block.description(), awaits))
@@ -247,8 +288,9 @@
                 self.trouble()
                 next_trouble = time.monotonic() + self.random.expovariate(1.0 / every_s)
             self.tend()
-            open_jobs = sum(1 for row in self.asked.values() if not row.told
-                            or row.told[-1][1] not in ("done", "cancelled"))
+            open_jobs = sum(
+                1 for row in self.asked.values() if not row.told or row.told[-1][1] not in ("done", "cancelled")
+            )
             if open_jobs < busy:
                 self.submit()
             self.users()
@@ -265,9 +307,11 @@
             self.users()
             time.sleep(0.1)
         if not self.over():
-            self.breaches += [f"{name}: no final answer ({row.told[-1:] or 'not accepted'})"
-                              for name, row in self.asked.items()
-                              if not row.told or row.told[-1][1] not in ("done", "cancelled")]
+            self.breaches += [
+                f"{name}: no final answer ({row.told[-1:] or 'not accepted'})"
+                for name, row in self.asked.items()
+                if not row.told or row.told[-1][1] not in ("done", "cancelled")
+            ]
         time.sleep(2 * REPORT_S)
 
     def end(self) -> None:
@@ -306,14 +350,20 @@
             if len(finals) > 1:
                 found.append(f"{name}: told {sorted(finals)}")
             if "done" in finals:
-                found += [f"{name}/{index}: called done, and never came to its end" for index in
-                          range(description.tasks) if not ends[f"{name}/{index}"]]
+                found += [
+                    f"{name}/{index}: called done, and never came to its end"
+                    for index in range(description.tasks)
+                    if not ends[f"{name}/{index}"]
+                ]
             if "cancelled" in finals and row.cancel_at is None and not row.ready.awaits:
                 found.append(f"{name}: called cancelled, and nobody asked for it")
             if row.cancelled_at is not None:
-                found += [f"{name}/{index}: began {at - row.cancelled_at:.1f} s after its cancellation"
-                          for index in range(description.tasks) for at in begins[f"{name}/{index}"]
-                          if at > row.cancelled_at + CANCEL_S]
+                found += [
+                    f"{name}/{index}: began {at - row.cancelled_at:.1f} s after its cancellation"
+                    for index in range(description.tasks)
+                    for at in begins[f"{name}/{index}"]
+                    if at > row.cancelled_at + CANCEL_S
+                ]
         found += self._check_histories()
         self.counts["tasks begun"] = sum(len(rows) for rows in begins.values())
         self.counts["tasks ended"] = sum(ends.values())
@@ -366,8 +416,19 @@
         loopback.end()
     found = loopback.check()
     states = Counter(row.told[-1][1] if row.told else "none" for row in loopback.asked.values())
-    print(json.dumps({"seed": seed, "seconds": arguments.seconds, "jobs": len(loopback.asked), "ended": states,
-                      "counts": loopback.counts, "breaches": found}, indent=1))
+    print(
+        json.dumps(
+            {
+                "seed": seed,
+                "seconds": arguments.seconds,
+                "jobs": len(loopback.asked),
+                "ended": states,
+                "counts": loopback.counts,
+                "breaches": found,
+            },
+            indent=1,
+        )
+    )
     return 1 if found else 0
 
 
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,8 +1,8 @@
 """Plots of what the benchmarks printed, as SVG for the pages.
 
-    python3 -m tools.bench_agents ... | tee agents.jsonl
-    python3 -m tools.plots agents agents.jsonl docs/agents.svg
-    python3 -m tools.plots store store.jsonl docs/store.svg
+python3 -m tools.bench_agents ... | tee agents.jsonl
+python3 -m tools.plots agents agents.jsonl docs/agents.svg
+python3 -m tools.plots store store.jsonl docs/store.svg
 """
 
 from __future__ import annotations
