--- a/lab/drivers.py
+++ b/lab/drivers.py
@@ -15,7 +15,7 @@
     @property
     def _cache(self) -> Any:
         """The controller's cache of the key-value store."""
-        return self.controller.mirror
+        return self.controller.cache
 
     @property
     def is_loaded(self) -> bool:
@@ -27,9 +27,9 @@
         """How long a watch that brings nothing goes unnoticed."""
         return self._cache.watch_s + self.controller.state.timeout
 
-    def keep_lease(self) -> None:
+    def renew_lease(self) -> None:
         """Grant or renew the controller's lease at the key-value store."""
-        self.controller.coordinator.keep_lease()
+        self.controller.coordinator.renew_lease()
 
     def catch_up(self) -> None:
         """Read what has changed at the key-value store."""
@@ -39,9 +39,9 @@
         """Say that the watch has brought an answer at a time of the steady clock."""
         self._cache.watched = steady
 
-    def tend_shards(self) -> None:
+    def maintain_shards(self) -> None:
         """Lead, and take over and give up shards."""
-        self.controller.coordinator.tend_blocks()
+        self.controller.coordinator.maintain_shards()
 
     def mapping_event(self) -> None:
         """Place waiting tasks."""
@@ -49,27 +49,27 @@
 
     def send_next_command(self) -> bool:
         """Send direct commands to one machine; False if none wait."""
-        return self.controller.dispatcher.deliver_next()
+        return self.controller.command_dispatcher.send_next()
 
     def probe_next(self) -> bool:
         """Ask one machine whether it can be reached; False if none is to be asked."""
-        return self.controller.witness.ask_next()
+        return self.controller.zone_probe.probe_next()
 
     def peer_frame(self) -> Any:
         """What the controller tells its peers."""
-        return self.controller.news()
+        return self.controller.peer_frame()
 
     def receive_peer_frame(self, frame: Any) -> None:
         """Take over what a peer tells."""
-        self.controller.link.receive(frame)
+        self.controller.peer_exchange.receive(frame)
 
     def guard_machines(self) -> None:
         """Look at the controller's own machines once, as each holder of a shard does."""
-        self.controller.rentals.guard_once()
+        self.controller.rentals.check_machines_once()
 
     def scale(self) -> None:
         """List, rent and return machines once, as the leader does."""
-        self.controller.rentals.lead_once()
+        self.controller.rentals.scale_once()
 
     def read_in_place(self, quiet: tuple[type[Exception], ...]) -> None:
         """Have read barriers read at once, without the thread that does it otherwise."""
--- a/lab/former_driver.py
+++ b/lab/former_driver.py
@@ -5,11 +5,23 @@
 
 from __future__ import annotations
 
+import importlib
 from typing import Any
 
 from lab.drivers import ControllerDriver
 
 
+def former_controller() -> Any:
+    """The package of the controller; to be called while that version can be imported."""
+    return importlib.import_module("tidebend.service")
+
+
+def former_failures() -> tuple[type[Exception], ...]:
+    """What a request to the key-value store may raise: not executed, or its outcome is unknown."""
+    storage = importlib.import_module("tidebend.storage")
+    return storage.Unavailable, storage.Unknown
+
+
 class FormerControllerDriver(ControllerDriver):
     """Steps a controller of a version that has the former names, such as the one in production."""
 
@@ -29,10 +41,10 @@
     def note_watch(self, steady: float) -> None:
         self._cache.watched = steady
 
-    def keep_lease(self) -> None:
+    def renew_lease(self) -> None:
         self.controller.coordinator.keep_lease()
 
-    def tend_shards(self) -> None:
+    def maintain_shards(self) -> None:
         self.controller.coordinator.tend_blocks()
 
     def mapping_event(self) -> None:
--- a/lab/model.py
+++ b/lab/model.py
@@ -12,9 +12,9 @@
 from types import SimpleNamespace
 from typing import Any
 
-from tidebend.controller.quota.quota_rebalancing import ShareMoves
-from tidebend.kvclient import Conflict, Unavailable, Unknown
-from tidebend.quota import QUOTA, Accounts
+from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError
+from tidebend.quota import QUOTA, UsageIndex
 from tidebend.settings import Team
 
 TEAM = "t"
@@ -91,14 +91,14 @@
         self.pending = list(state.pending)
         self.state = SimpleNamespace(timeout=1.0)
         settings = SimpleNamespace(teams={TEAM: model.team}, zones=model.zones)
-        self.shares = ShareMoves(settings, self, self, SimpleNamespace(pipelines=True), self.held)
+        self.shares = QuotaRebalancer(settings, self, self, SimpleNamespace(pipelines=True), self.held)
         if state.doubts[number]:
-            self.shares.in_doubt({TEAM})
+            self.shares.mark_uncertain({TEAM})
 
     # the book
 
-    def _accounts(self) -> Accounts:
-        accounts = Accounts()
+    def _accounts(self) -> UsageIndex:
+        accounts = UsageIndex()
         for key, (value, version) in self.cache.items():
             if key == QUOTA + TEAM:
                 accounts.on_change(key, _quota(value), version)
@@ -115,13 +115,13 @@
         return self._accounts().team(team, zones)
 
     def held(self) -> dict[str, tuple[str, int]]:
-        blocks = {zone: self.cache[f"block/{zone}"] for zone in self.model.zones}
-        return {zone: (f"block/{zone}", version) for zone, (holder, version) in blocks.items() if holder == self.number}
+        shards = {zone: self.cache[f"block/{zone}"] for zone in self.model.zones}
+        return {zone: (f"block/{zone}", version) for zone, (holder, version) in shards.items() if holder == self.number}
 
     # the mirror
 
     def write(self, conditions: dict[str, int], writes: list, patience: float = 0.0) -> int:
-        """As `Mirror.write`, with each outcome that the state service may have."""
+        """As `WatchCache.write`, with each outcome that the state service may have."""
         fault = self.model.fault
         if fault == "no_fence":
             conditions = {key: version for key, version in conditions.items() if not key.startswith("block/")}
@@ -131,15 +131,15 @@
         late = len(self.pending) < self.model.size.late
         outcome = OUTCOMES[self.choose(4)]
         if outcome == "refused" or (outcome == "late" and not late):
-            raise Unavailable("refused")
+            raise NotExecutedError("refused")
         if outcome == "late":
             self.pending.append(plain)
-            raise Unknown("no answer, and not executed yet")
+            raise OutcomeUnknownError("no answer, and not executed yet")
         applied = apply(self.items, plain)
         if outcome == "lost":
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         if not applied:
-            raise Conflict([key for key, version in plain[0] if self.items[key][1] != version])
+            raise ConflictError([key for key, version in plain[0] if self.items[key][1] != version])
         self.cache.update((key, self.items[key]) for key, _ in plain[1])
         return 0
 
@@ -156,7 +156,7 @@
 
     def claim(self, zone: str, key: str) -> None:
         if self.model.fault != "no_doubts":
-            self.shares.settle_doubts(0.0)
+            self.shares.settle_uncertain_claims(0.0)
         held = self.held()
         if zone not in held:
             return
@@ -164,13 +164,13 @@
         usage = self.team(TEAM, held)
         if not self.model.team.allows(usage.cpus + 1.0, usage.gpus):
             return
-        made = self.shares.for_claim(TEAM, usage.shares, {}, None, {zone: (1.0, 0.0)}, held)
+        made = self.shares.for_allocation(TEAM, usage.shares, {}, None, {zone: (1.0, 0.0)}, held)
         if made is None:
             return
         try:
             self.write({key: version, **made[0], **dict([held[zone]])}, [(key, value + 1, None), *made[1]])
-        except Unknown:
-            self.shares.in_doubt({TEAM})
+        except OutcomeUnknownError:
+            self.shares.mark_uncertain({TEAM})
 
     def end(self, zone: str, key: str) -> None:
         held = self.held()
@@ -178,8 +178,8 @@
         if zone in held and value:
             self.write({key: version, **dict([held[zone]])}, [(key, value - 1, None)])
 
-    def give_back(self) -> None:
-        self.shares.give_back(TEAM)
+    def release_shares(self) -> None:
+        self.shares.release_shares(TEAM)
 
 
 def apply(items: dict[str, Item], transaction: Pending) -> bool:
@@ -218,7 +218,7 @@
                     yield self._act(state, number, f"claims {key}", lambda h, z=zone, k=key: h.claim(z, k))
                     yield self._act(state, number, f"records an end of {key}", lambda h, z=zone, k=key: h.end(z, k))
             if believed:
-                yield self._act(state, number, "gives back", _Holder.give_back)
+                yield self._act(state, number, "gives back", _Holder.release_shares)
             if state.caches[number] != state.items:
                 yield self._act(state, number, "reads", lambda h: h.cache.update(h.items))
         for number, transaction in enumerate(state.pending):
@@ -236,7 +236,7 @@
             holder, text = _Holder(self, number, state, choose), f"holder {number} {what}"
             try:
                 act(holder)
-            except (Conflict, Unavailable, Unknown) as error:
+            except (ConflictError, NotExecutedError, OutcomeUnknownError) as error:
                 text += f" ({type(error).__name__}: {error})"
             caches, doubts = list(state.caches), list(state.doubts)
             caches[number], doubts[number] = self._rows(holder.cache), bool(holder.shares._doubtful)
--- a/lab/report.py
+++ b/lab/report.py
@@ -143,10 +143,10 @@
         """CPUs that a team's recorded claims take, as the controller with the newest reading knows them."""
         newest = max(
             (controller for controller in self.world.controllers.values() if controller is not None),
-            key=lambda controller: controller.mirror._revision,
+            key=lambda controller: controller.cache._revision,
             default=None,
         )
-        return newest.book.used(team)[0] if newest is not None else 0.0
+        return newest.job_cache.used(team)[0] if newest is not None else 0.0
 
     def _spare(self, team: str, zone: str, shares: dict) -> float:
         world = self.world
--- a/lab/search.py
+++ b/lab/search.py
@@ -18,11 +18,11 @@
 from lab.play import cut_zone
 from lab.world import World
 from tidebend.cluster_state.machine_registry import Machine
-from tidebend.controller.api.job_api import Users
-from tidebend.controller.records.completions import Ends, ProvenEnds
-from tidebend.controller.scheduler.pending_jobs import Waiting
-from tidebend.coordination import block_of
-from tidebend.kvclient import LIVE, Mirror
+from tidebend.controller.api.job_api import JobApi
+from tidebend.controller.records.completions import CompletionTracker, ProvenCompletions
+from tidebend.controller.scheduler.pending_jobs import PendingJobs
+from tidebend.coordination import shard_of
+from tidebend.kvclient import LIVE, WatchCache
 from tidebend.settings import Settings
 
 ZONES = ("north", "south", "west")
@@ -469,21 +469,21 @@
 @_fault
 def late_transaction():
     """The last writer of a job's record wins, also when it comes late."""
-    honest = Mirror.write
+    honest = WatchCache.write
 
     def write(self, conditions, writes, *rest, **named):
         written = {key for key, _, _ in writes if key.startswith((LIVE + "job/", LIVE + "head/", LIVE + "part/"))}
         kept = {key: version for key, version in conditions.items() if key not in written or not version}
         return honest(self, kept, writes, *rest, **named)
 
-    with mock.patch.object(Mirror, "write", write):
+    with mock.patch.object(WatchCache, "write", write):
         yield
 
 
 @_fault
 def late_report():
     """What a report doesn't show is gone, also if the report is older than the claim."""
-    with mock.patch.object(Ends, "_absent", lambda self, machine, job, key: True):
+    with mock.patch.object(CompletionTracker, "_absent", lambda self, machine, job, key: True):
         yield
 
 
@@ -500,62 +500,65 @@
 @_fault
 def unread_answer():
     """Users are answered from the cache as it is, without a read."""
-    with mock.patch.object(Users, "find", lambda self, name: self._known(name)):
+    with mock.patch.object(JobApi, "find", lambda self, name: self._known(name)):
         yield
 
 
 @_fault
 def freed_limit():
     """What is cancelled and not heard of counts as ended for whoever takes a block over."""
-    honest = Ends.settle
+    honest = CompletionTracker.collect
 
     def settle(self):
         honest(self)
-        grants = {grant.block: grant for grant in self.coordinator.grants()}
-        for job in self.book.live():
-            for claim in job.claims if job.cancelled else ():
-                machine = self.fleet.machines.get(claim.machine)
-                grant = grants.get(block_of(claim.zone))
-                if grant is not None and (machine is None or machine.heard < grant.held):
-                    end = self.proven.setdefault(job.id, ProvenEnds())
+        grants = {grant.shard: grant for grant in self.coordinator.grants()}
+        for job in self.job_cache.live():
+            for claim in job.allocations if job.cancelled else ():
+                machine = self.machine_registry.machines.get(claim.machine)
+                grant = grants.get(shard_of(claim.zone))
+                if grant is not None and (machine is None or machine.last_heartbeat < grant.held_since):
+                    end = self.proven.setdefault(job.id, ProvenCompletions())
                     end.ended[claim.machine, claim.session, claim.attempt] = claim.tasks
                     end.grants.add(grant)
 
-    with mock.patch.object(Ends, "settle", settle):
+    with mock.patch.object(CompletionTracker, "collect", settle):
         yield
 
 
 @_fault
 def earlier_session():
     """A report of an earlier session, too, is evidence of what runs."""
-    hears, ends_on = Machine.hears, Ends._ends_on
+    apply_heartbeat, ends_on = Machine.apply_heartbeat, CompletionTracker._ends_on
 
     def hears_any(self, report, now, direct):
         if report.session < self.session:
             self.session, self.sequence, self.report_sequence = report.session, 0, 0
-        return hears(self, replace(report, token=max(report.token, self.token)), now, direct)
+        return apply_heartbeat(self, replace(report, token=max(report.token, self.token)), now, direct)
 
     def any_ends(self, machine, grant, ends):
         ends_on(self, machine, grant, ends)
-        for job, claim in self.book.on_machine(machine.name):
+        for job, claim in self.job_cache.on_machine(machine.name):
             if claim.session != machine.session:
-                end = ends.setdefault(job.id, ProvenEnds())
+                end = ends.setdefault(job.id, ProvenCompletions())
                 end.ended[claim.machine, claim.session, claim.attempt] = claim.tasks
                 end.grants.add(grant)
 
-    with mock.patch.object(Machine, "hears", hears_any), mock.patch.object(Ends, "_ends_on", any_ends):
+    with (
+        mock.patch.object(Machine, "apply_heartbeat", hears_any),
+        mock.patch.object(CompletionTracker, "_ends_on", any_ends),
+    ):
         yield
 
 
 @_fault
 def beside_room():
     """Some jobs are never placed."""
-    honest = Waiting.want
+    honest = PendingJobs.request
 
     def want(self, job, *rest, **named):
         return None if job.id.endswith("2") else honest(self, job, *rest, **named)
 
-    with mock.patch.object(Waiting, "want", want):
+    with mock.patch.object(PendingJobs, "request", want):
         yield
 
 
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lab.drivers import ControllerDriver
-from lab.former_driver import FormerControllerDriver
+from lab.former_driver import FormerControllerDriver, former_controller, former_failures
 
 ROOT = Path(__file__).resolve().parents[1]
 
@@ -45,12 +45,10 @@
         driver: type[ControllerDriver] = ControllerDriver
         controller = importlib.import_module("tidebend.controller")
         kvclient = importlib.import_module("tidebend.kvclient")
-        failures = (kvclient.Unavailable, kvclient.Unknown)
+        failures = (kvclient.NotExecutedError, kvclient.OutcomeUnknownError)
     else:
         driver = FormerControllerDriver
-        controller = importlib.import_module("tidebend.service")
-        storage = importlib.import_module("tidebend.storage")
-        failures = (storage.Unavailable, storage.Unknown)
+        controller, failures = former_controller(), former_failures()
     return Version(
         controller.Controller,
         parts["settings"].read_settings,
--- a/lab/workers.py
+++ b/lab/workers.py
@@ -172,8 +172,8 @@
             self.answered = sent
             self.execute(body["orders"])
 
-    def execute(self, orders):
-        for order in orders:
+    def execute(self, commands_for):
+        for order in commands_for:
             key, attempt = order["piece"], order["launch"]
             task = self.tasks.get(key)
             if order["order"] == "start":
--- a/lab/world.py
+++ b/lab/world.py
@@ -465,12 +465,12 @@
         driver, quiet = self.versions[node].driver(controller), self.versions[node].quiet
         turn = self.ticks + number
         if turn % 8 == 0:
-            driver.keep_lease()
+            driver.renew_lease()
         if turn % 2 == 0:
             if self.now >= self.hung_watch.get(node, -1.0):
                 self._quietly(quiet, driver.catch_up)
                 driver.note_watch(self.steady)
-            driver.tend_shards()
+            driver.maintain_shards()
         if turn % 3 == 0 and driver.is_loaded:
             self._quietly(quiet, driver.mapping_event)
         for _ in range(20):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,8 +11,8 @@
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
-from tidebend.controller.api.job_api import Users
-from tidebend.kvclient import Mirror
+from tidebend.controller.api.job_api import JobApi
+from tidebend.kvclient import WatchCache
 
 ACTIONS = ("submit", "poll", "cancel")
 ODD = {
@@ -84,7 +84,7 @@
 
 def test_answers_from_the_cache_without_a_read_are_older(monkeypatch):
     """The guard of the test above taken out."""
-    monkeypatch.setattr(Users, "find", Users._known)
+    monkeypatch.setattr(JobApi, "find", JobApi._known)
     for world in small(1):
         pairs(world)
         assert breaches(world.log, world.jobs, TEAMS, world.cancel_s, world.completed)
@@ -154,7 +154,7 @@
             if carried_out and node == "n0" and path == "/multi" and "req-b" in str(body):
                 del world.meanwhile
                 ask(world, "cancel", "req-b", "n1")
-                first.mirror.catch_up(0.0, "claim")
+                first.cache.catch_up(0.0, "claim")
 
         world.meanwhile = meanwhile
         assert ask(world, "submit", "req-b", "n0") == (201, "withdrawn")
@@ -166,12 +166,12 @@
 
     class State:
         def transact(self, conditions, writes, kind, patience):
-            mirror.catch_up(0.0, "claim")  # as of 9: the job was written at 5 and deleted at 7
+            cache.catch_up(0.0, "claim")  # as of 9: the job was written at 5 and deleted at 7
             return 5
 
         def items(self, prefix, after):
             return [], False, 9
 
-    mirror = Mirror(State(), lambda key, value, version: known.update({key: value}), threading.RLock(), 1.0, 1.0)
-    mirror.write({}, [("tidebend/live/job/req-a", {"spec": 1}, None)])
-    assert mirror.get("tidebend/live/job/req-a") == (None, 0) and not known
+    cache = WatchCache(State(), lambda key, value, version: known.update({key: value}), threading.RLock(), 1.0, 1.0)
+    cache.write({}, [("tidebend/live/job/req-a", {"spec": 1}, None)])
+    assert cache.get("tidebend/live/job/req-a") == (None, 0) and not known
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,11 +10,11 @@
 
 from tests.test_guards import begun
 from tidebend import protocol
-from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
 from tidebend.controller import connection_limits
-from tidebend.controller.autoscaling.machine_inventory import CALLS_SHARE, PAGE, Listing
+from tidebend.controller.autoscaling.machine_inventory import CALLS_SHARE, PAGE, MachineInventory
 from tidebend.controller.autoscaling.rentals import SPARE_SHARE
-from tidebend.kvclient import LIVE, Mirror
+from tidebend.kvclient import LIVE, WatchCache
 from tidebend.protocol import Report
 from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
 from tidebend.transport.frames import MAX_FRAME
@@ -64,7 +64,7 @@
     clock = Clock(monkeypatch)
     calls_per_s, log, others, wholes = 2.0, [], 0, []
     budget = Budget(calls_per_s, 2.0)
-    listing = Listing(pages_of(fleet, budget, log), 10.0, calls_per_s)
+    listing = MachineInventory(pages_of(fleet, budget, log), 10.0, calls_per_s)
     for _ in range(120):
         listing.read(clock.now)
         if listing.whole is not None and listing.as_of not in wholes:
@@ -90,7 +90,7 @@
         row = {"id": f"vm-{len(asked):06d}", "address": None, "hull": "box", "harbor": "north", "tide": "running"}
         return 200, {"fleet": [row], "more": len(asked) < 3}
 
-    listing = Listing(call, 10.0, 2.0)
+    listing = MachineInventory(call, 10.0, 2.0)
     listing.read(1000.0)
     assert listing.whole is None
     listing.read(1001.0)
@@ -105,7 +105,7 @@
     rentals.release = lambda names: not calls.append(names)
     now = time.monotonic()
     for tick in range(60):  # one becomes idle each second
-        rentals._spare([Machine(f"m-{tick}-{block}", "box", block, False) for block in ("north", "south")], now + tick)
+        rentals._spare([Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")], now + tick)
     pause_s = rentals.settings.controllers / (SPARE_SHARE * rentals.settings.cloud_rps)
     assert 0.5 * 60 / pause_s <= len(calls) <= 60 / pause_s + 1
     assert all(len(names) == 2 for names in calls)
@@ -155,7 +155,7 @@
 
 
 def test_direct_commands_keep_no_more_connections_than_their_share(world):
-    dispatcher = world.controllers["n0"].dispatcher
+    command_dispatcher = world.controllers["n0"].command_dispatcher
     closed = []
 
     class Client:
@@ -168,15 +168,15 @@
         def close(self):
             closed.append(self.address)
 
-    dispatcher._connect = Client
-    dispatcher._clients.clear()
+    command_dispatcher._connect = Client
+    command_dispatcher._clients.clear()
     for number in range(500):
-        dispatcher._put((f"vm-{number}", "north", ("10.0.0.1", number), 1), dispatcher._silent)
-    assert dispatcher._silent.qsize() == 500  # none is left out
-    while dispatcher.deliver_next():
+        command_dispatcher._put((f"vm-{number}", "north", ("10.0.0.1", number), 1), command_dispatcher._silent)
+    assert command_dispatcher._silent.qsize() == 500  # none is left out
+    while command_dispatcher.send_next():
         pass
-    kept = connection_limits.kept(dispatcher.settings)
-    assert len(dispatcher._clients) == kept and len(closed) == 500 - kept
+    kept = connection_limits.kept(command_dispatcher.settings)
+    assert len(command_dispatcher._clients) == kept and len(closed) == 500 - kept
 
 
 LARGE_FLEET = 4500
@@ -184,24 +184,24 @@
 
 def test_late_reports_of_a_whole_large_fleet_that_was_released_at_once_are_no_news():
     """Beyond 2,000 released machines the first were forgotten: their late reports made them known again."""
-    fleet = Fleet()
+    fleet = MachineRegistry()
     names = [f"vm-{number:06d}" for number in range(LARGE_FLEET)]
     reports = [Report(name, None, "box", "north", False, 1, 1, 0, None, ()) for name in names]
     for report in reports:
-        fleet.heard(report)
-    fleet.released(names)
-    assert all(fleet.heard(replace(report, sequence=2)) is None for report in reports)
+        fleet.record_heartbeat(report)
+    fleet.mark_released(names)
+    assert all(fleet.record_heartbeat(replace(report, sequence=2)) is None for report in reports)
     assert not fleet.machines
 
 
 def test_what_was_released_is_forgotten_after_its_time_unless_it_is_needed(monkeypatch):
     clock = Clock(monkeypatch)
-    fleet = Fleet()
-    fleet.released(["old", "holds-a-claim"])
+    fleet = MachineRegistry()
+    fleet.mark_released(["old", "holds-a-claim"])
     clock.now += 100.0
-    fleet.released(["new"])
-    fleet.forget_gone(clock.now - 50.0, needed={"holds-a-claim"})
-    assert set(fleet.gone) == {"holds-a-claim", "new"}
+    fleet.mark_released(["new"])
+    fleet.forget_released(clock.now - 50.0, needed={"holds-a-claim"})
+    assert set(fleet.released_at) == {"holds-a-claim", "new"}
 
 
 def test_an_old_answer_brings_none_of_a_large_fleets_deleted_records_back():
@@ -215,14 +215,14 @@
         timeout = 1.0
 
         def items(self, prefix, after):
-            mirror.apply(deletions)
+            cache.apply(deletions)
             return rows, False, LARGE_FLEET
 
-    mirror = Mirror(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
-    mirror.catch_up(0.0, "claim")
-    assert not mirror.under(LIVE)
-    mirror.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
-    assert len(mirror._tombstones) == 0  # no request is under way that could undo them
+    cache = WatchCache(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
+    cache.catch_up(0.0, "claim")
+    assert not cache.under(LIVE)
+    cache.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
+    assert len(cache._tombstones) == 0  # no request is under way that could undo them
 
 
 def test_the_frames_between_controllers_hold_a_large_fleet_and_all_that_was_released():
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,18 +11,18 @@
 from lab.world import World
 from tests.test_scenarios import JOB
 from tidebend.autoscaling import Offer, Rental
-from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import JOB as JOB_KEY
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, orders
-from tidebend.cluster_state.record_chunks import Parts
-from tidebend.controller.records.completions import ProvenEnds
-from tidebend.controller.records.job_writer import Edit
+from tidebend.cluster_state.machine_registry import Machine, commands_for
+from tidebend.cluster_state.record_chunks import ChunkIndex
+from tidebend.controller.records.completions import ProvenCompletions
+from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
-from tidebend.coordination import block_of
-from tidebend.kvclient import Unknown
+from tidebend.coordination import shard_of
+from tidebend.kvclient import OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
-from tidebend.scheduling import Place, Placement, Timeline, Want, own_demand, value_of
+from tidebend.scheduling import CandidateMachine, Placement, TaskRequest, Timeline, own_demand, value_of
 from tidebend.transport import NoAnswer
 
 TYPES = [
@@ -49,7 +49,9 @@
 @pytest.fixture
 def old_world(monkeypatch):
     """The format is never raised: teams have the records that the version before pipelines keeps."""
-    monkeypatch.setattr("tidebend.coordination.schema_version.Formats.raise_if_all_read", lambda self, leader: None)
+    monkeypatch.setattr(
+        "tidebend.coordination.schema_version.SchemaVersion.raise_if_all_read", lambda self, leader: None
+    )
     yield from begun()
 
 
@@ -76,72 +78,72 @@
         world.state.transact({"if": [], "writes": [{"put": job.key, "v": job.pack()}]})
     pair = [world.controllers["n0"], world.controllers["n1"]]
     for controller in pair:
-        controller.mirror.catch_up(0.0, "claim")
+        controller.cache.catch_up(0.0, "claim")
     return pair
 
 
 def in_parts(made, name="a"):
-    return Job(name, 0, made, 0.0, parts=Parts(40))
+    return Job(name, 0, made, 0.0, chunks=ChunkIndex(40))
 
 
-def claim(controller, name, machine, tasks, conditions=None):
+def allocation(controller, name, machine, tasks, conditions=None):
     def edit(job, usage):
         free = job.pending & tasks
         if not free or not controller.settings.teams["team"].allows(
             *[getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
         ):
             return None
-        return job.with_claims([Claim(machine, 1, job.started + 1, free, 0.0, "north")])
+        return job.with_claims([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
 
-    return controller.ledger.change(name, edit, conditions or {})
+    return controller.job_writer.change(name, edit, conditions or {})
 
 
 def test_two_holders_do_not_claim_the_same_task(world):
     first, second = stale_pair(world, a=spec())
-    assert claim(first, "a", "vm-000000", 1) is not None
-    assert claim(second, "a", "vm-000001", 1) is None
+    assert allocation(first, "a", "vm-000000", 1) is not None
+    assert allocation(second, "a", "vm-000001", 1) is None
 
 
 def test_a_stale_holder_claims_nothing_of_a_job_that_was_cancelled(world):
     first, second = stale_pair(world, a=spec())
-    record = replace(first.book.get("a"), cancelled=True).pack()
+    record = replace(first.job_cache.get("a"), cancelled=True).pack()
     world.state.transact({"if": [], "writes": [{"put": JOB_KEY + "a", "v": record}]})
-    assert claim(second, "a", "vm-000001", 1) is None
+    assert allocation(second, "a", "vm-000001", 1) is None
 
 
 def test_two_holders_do_not_exceed_a_team_limit_with_two_jobs(world):
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
-    assert claim(first, "a", "vm-000000", 3) is not None
-    assert claim(second, "b", "vm-000001", 3) is None
+    assert allocation(first, "a", "vm-000000", 3) is not None
+    assert allocation(second, "b", "vm-000001", 3) is None
 
 
 def test_a_deposed_holder_claims_nothing(world):
     first, second = stale_pair(world, a=spec())
     grant = first.coordinator.grant("north.0")
     second.coordinator._put_block("north.0", grant.token, "n1", second.coordinator.lease)
-    assert claim(first, "a", "vm-000000", 1, dict([first.coordinator.condition(grant)])) is None
+    assert allocation(first, "a", "vm-000000", 1, dict([first.coordinator.condition(grant)])) is None
 
 
 def test_a_job_that_is_over_is_not_created_anew(world):
     first, _ = stale_pair(world)
     world.state.transact({"if": [], "writes": [{"put": "tidebend/final/req-a", "v": "done"}]})
-    reply = first.users.submit(b'{"id":"req-a",' + json.dumps(JOB).encode()[1:])
+    reply = first.job_api.submit(b'{"id":"req-a",' + json.dumps(JOB).encode()[1:])
     assert (reply.status, reply.body["tide"]) == (200, "done")
 
 
 def test_spread_is_checked_against_the_record_of_the_claim(world):
     first, _ = stale_pair(world, a=spec(shape="service", pieces=2, vcpus=1.0, spread=True))
     now = time.monotonic()
-    places = first.planner.places.all(now, time.time())
+    places = first.planner.free_capacity.all(now, time.time())
     name = next(name for name, (place, _, _) in places.items() if place.zone == "north")
-    first.planner.claims.claim({"a": [Placement("a", name, 2, now, now + 1, True)]}, places)
-    assert first.book.get("a").per_zone() == {"north": 1}
+    first.planner.allocator.allocate({"a": [Placement("a", name, 2, now, now + 1, True)]}, places)
+    assert first.job_cache.get("a").per_zone() == {"north": 1}
 
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
     first, _ = stale_pair(world)
     first.coordinator._held.clear()
-    first.mirror.barrier = lambda timeout, kind="poll": False
+    first.cache.barrier = lambda timeout, kind="poll": False
     first.coordinator._take_up()
     assert first.coordinator.grant("north.0") is None
 
@@ -158,17 +160,17 @@
 
 def test_ends_wait_until_the_worker_has_confirmed_the_token(world):
     first, _ = stale_pair(world, a=spec())
-    machine = next(m for m in first.fleet.all() if block_of(m.zone) == "north.0")
-    claim(first, "a", machine.name, 1)
+    machine = next(m for m in first.machine_registry.all() if shard_of(m.zone) == "north.0")
+    allocation(first, "a", machine.name, 1)
     machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False)}
-    machine.unsettled, confirmed = True, machine.token
+    machine.needs_reconciliation, confirmed = True, machine.token
     machine.token = confirmed - 1
-    first.planner.ends.gather_s = 0.0
+    first.planner.completions.gather_s = 0.0
     first.planner.mapping_event()
-    assert first.book.get("a").claims
+    assert first.job_cache.get("a").allocations
     machine.token = confirmed
     first.planner.mapping_event()
-    assert not first.book.get("a").claims
+    assert not first.job_cache.get("a").allocations
 
 
 # What a worker is told
@@ -181,12 +183,12 @@
 
 
 def held(session=2, **changes):
-    made = Claim("vm-000000", session, 1, 1, 0.0, "north")
-    return [(Job("req-a", 1, spec(), 0.0, claims=(made,), **changes), made)]
+    made = Allocation("vm-000000", session, 1, 1, 0.0, "north")
+    return [(Job("req-a", 1, spec(), 0.0, allocations=(made,), **changes), made)]
 
 
-def ops(machine, claims, direct=False):
-    return [command.op for command in orders(machine, claims, 5, direct)]
+def ops(machine, allocations, direct=False):
+    return [command.op for command in commands_for(machine, allocations, 5, direct)]
 
 
 def test_starts_are_repeated_until_seen_but_never_for_a_cancelled_job_or_an_older_session():
@@ -203,17 +205,17 @@
 def test_absence_proves_nothing_while_a_start_is_under_way():
     key = ("req-a", 0, 1)
     machine = machine_with()
-    orders(machine, held(), 5, direct=False)
+    commands_for(machine, held(), 5, direct=False)
     assert not machine.can_no_longer_start(key)  # the answer to report 7 may still arrive
     report = Report("vm-000000", None, "box", "north", False, 2, 8, 5, None, ())
-    machine.hears(report, 1.0, direct=True)
+    machine.apply_heartbeat(report, 1.0, direct=True)
     assert not machine.can_no_longer_start(key)  # an answer to direct commands doesn't settle it
-    machine.hears(replace(report, sequence=9), 1.0, direct=False)
+    machine.apply_heartbeat(replace(report, sequence=9), 1.0, direct=False)
     assert machine.can_no_longer_start(key)
-    orders(machine, held(), 5, direct=True)
-    machine.hears(replace(report, sequence=10), 1.0, direct=False)
+    commands_for(machine, held(), 5, direct=True)
+    machine.apply_heartbeat(replace(report, sequence=10), 1.0, direct=False)
     assert not machine.can_no_longer_start(key)  # a direct start may be late for ever
-    machine.hears(replace(report, sequence=11, token=6), 1.0, direct=False)
+    machine.apply_heartbeat(replace(report, sequence=11, token=6), 1.0, direct=False)
     assert machine.can_no_longer_start(key)  # until a higher token is confirmed
 
 
@@ -223,39 +225,41 @@
     machine = machine_with()
     machine.stops[key] = 0.0
     assert machine.can_no_longer_start(key)  # from here on its end may be recorded, and it may be claimed elsewhere
-    machine.hears(Report("vm-000000", None, "box", "north", False, 2, 8, 5, None, ()), 1.0, direct=False)
+    machine.apply_heartbeat(Report("vm-000000", None, "box", "north", False, 2, 8, 5, None, ()), 1.0, direct=False)
     assert ops(machine, held()) == [] and key in machine.stops
     assert ops(machine, []) == [] and not machine.stops  # its end is recorded: nothing is kept for it
 
 
 def test_an_answer_to_direct_commands_shows_that_a_machine_lives_for_a_lease_at_most(world):
     rentals = world.controllers["n0"].rentals
-    assert rentals._silent_since(machine_with(heard=50.0, answered=55.0), 52.0) == 55.0
-    assert rentals._silent_since(machine_with(heard=50.0, answered=90.0), 52.0) == 62.0
+    assert rentals._silent_since(machine_with(last_heartbeat=50.0, last_direct_answer=55.0), 52.0) == 55.0
+    assert rentals._silent_since(machine_with(last_heartbeat=50.0, last_direct_answer=90.0), 52.0) == 62.0
 
 
 def test_a_rental_name_is_not_used_again_when_the_same_term_comes_back(world):
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None)
     leader.rentals._counter = 5
     until, leader.coordinator.lease_until = leader.coordinator.lease_until, -1e9
-    leader.rentals.lead_once()
+    leader.rentals.scale_once()
     leader.coordinator.lease_until = until
-    leader.rentals.lead_once()
+    leader.rentals.scale_once()
     assert leader.coordinator.term is not None and leader.rentals._counter >= 5
 
 
 def test_nothing_is_cleared_while_a_late_start_could_run_it_again():
     ended = {("req-a", 0, 1): TaskReport("req-a", 0, 1, "ended", "done", False)}
     assert ops(machine_with(tasks=dict(ended)), []) == ["forget"]
-    assert ops(machine_with(tasks=dict(ended), doubtful={("req-a", 0, 1): (5, 0.0)}), []) == []
+    assert ops(machine_with(tasks=dict(ended), uncertain_starts={("req-a", 0, 1): (5, 0.0)}), []) == []
 
 
 # Records at size
 
 
 def test_a_record_of_hundreds_of_machines_fits_one_value():
-    claims = tuple(Claim(f"vm-{n:06d}", 1, 1 + n // 40, 0b1111 << 4 * n, 1e9 + n // 40, "palermo") for n in range(150))
-    job = Job("req-a", 1, spec(pieces=600), 0.0, claims=claims, started=4)
+    allocations = tuple(
+        Allocation(f"vm-{n:06d}", 1, 1 + n // 40, 0b1111 << 4 * n, 1e9 + n // 40, "palermo") for n in range(150)
+    )
+    job = Job("req-a", 1, spec(pieces=600), 0.0, allocations=allocations, started=4)
     assert packed_bytes(job.pack()) < 0.75 * 8192
     assert Job.unpack("req-a", json.loads(json.dumps(job.pack())), 1) == job
 
@@ -263,63 +267,65 @@
 def test_a_record_that_is_full_becomes_a_head_with_parts_of_bounded_size(world):
     """As production wrote it and larger than may now be written: parts first, each step in few changes."""
     first, second = stale_pair(world, a=spec(pieces=100_000, vcpus=0.0, memoryGb=0.0))
-    first.sizes.value_bytes, first.sizes.most_writes = 600, 4
+    first.record_limits.value_bytes, first.record_limits.most_writes = 600, 4
     largest, whole = [], world.state.transact
     world.state.transact = lambda body: (
         largest.append((len(body["writes"]), max(packed_bytes(row.get("v")) for row in body["writes"]))),
         whole(body),
     )[1]
     now = time.monotonic()
-    places = first.planner.places.all(now, time.time())
+    places = first.planner.free_capacity.all(now, time.time())
     group = [Placement("a", name, 40, now, now + 1, True) for name in places]
     for _ in range(20):
-        first.planner.claims.claim({"a": group}, places)
-    job = first.book.get("a")
-    assert job.parts and len(job.claims) > 20 and job.charged == job.running
+        first.planner.allocator.allocate({"a": group}, places)
+    job = first.job_cache.get("a")
+    assert job.chunks and len(job.allocations) > 20 and job.charged == job.running
     # every other one done: as scattered as can be
     everything = job.places(places)
     done = job.claimed & int("01" * 50_000, 2)
-    while first.book.get("a").claims:
-        ended = ProvenEnds(everything, done)
-        assert first.ledger.change("a", lambda job, _, ended=ended: first.planner.ends.without(job, _, ended), {})
-    after = first.book.get("a")
+    while first.job_cache.get("a").allocations:
+        ended = ProvenCompletions(everything, done)
+        assert first.job_writer.change(
+            "a", lambda job, _, ended=ended: first.planner.completions.job_without(job, _, ended), {}
+        )
+    after = first.job_cache.get("a")
     assert (after.done, after.charged, after.started) == (done, job.charged, job.started)
-    second.mirror.catch_up(0.0, "claim")
-    assert replace(second.book.get("a"), parts=None) == replace(after, parts=None)
+    second.cache.catch_up(0.0, "claim")
+    assert replace(second.job_cache.get("a"), chunks=None) == replace(after, chunks=None)
     # cancelled, its parts go first and the team's record is as if it had never been
-    while first.book.get("a"):
-        assert first.ledger.change("a", lambda job, _: replace(job, cancelled=True), {})
-    assert first.book.team("team").charged == (0.0, 0.0) and not first.book.part_versions("a")
+    while first.job_cache.get("a"):
+        assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
+    assert first.job_cache.team("team").charged == (0.0, 0.0) and not first.job_cache.chunk_versions("a")
     assert max(changes for changes, _ in largest) <= 4 and max(size for _, size in largest) <= 600
 
 
 def test_a_job_whose_description_alone_is_too_long_by_now_keeps_no_other_from_being_claimed(world):
     long = spec(pieces=3, hulls=[f"a-long-name-{n:04d}" for n in range(99)])
     first, _ = stale_pair(world, a=long, b=spec())
-    world.state.limits["value_kb"], first.sizes.value_bytes = 1.0, 1024
+    world.state.limits["value_kb"], first.record_limits.value_bytes = 1.0, 1024
 
     def edit(job, usage):
-        return job.with_claims([Claim("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
+        return job.with_claims([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
 
-    assert list(first.ledger.change_all([Edit("a", edit), Edit("b", edit)])) == ["b"]
-    assert not first.book.get("a").claims
+    assert list(first.job_writer.change_all([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
+    assert not first.job_cache.get("a").allocations
 
 
 def test_a_part_is_compared_as_it_was_when_the_job_was_read(world):
     """The watch brings another holder's claim while ours is being made: it must not be overwritten."""
     first, second = stale_pair(world, a=in_parts(spec(pieces=100, vcpus=0.0, memoryGb=0.0)))
-    assert claim(first, "a", "vm-000000", 0b1) is not None
-    second.mirror.catch_up(0.0, "claim")
+    assert allocation(first, "a", "vm-000000", 0b1) is not None
+    second.cache.catch_up(0.0, "claim")
 
     def edit(job, usage):
-        if first.book.get("a").claimed == 0b1:  # only once
-            assert claim(second, "a", "vm-000001", 0b10) is not None
-            first.mirror.catch_up(0.0, "claim")
+        if first.job_cache.get("a").claimed == 0b1:  # only once
+            assert allocation(second, "a", "vm-000001", 0b10) is not None
+            first.cache.catch_up(0.0, "claim")
         free = job.pending & 0b110
-        return job.with_claims([Claim("vm-000002", 1, job.started + 1, free, 0.0, "north")])
+        return job.with_claims([Allocation("vm-000002", 1, job.started + 1, free, 0.0, "north")])
 
-    assert first.ledger.change("a", edit, {})
-    held = {claim.machine: claim.tasks for claim in first.book.get("a").claims}
+    assert first.job_writer.change("a", edit, {})
+    held = {allocation.machine: allocation.tasks for allocation in first.job_cache.get("a").allocations}
     assert held == {"vm-000000": 0b1, "vm-000001": 0b10, "vm-000002": 0b100}
 
 
@@ -328,28 +334,28 @@
 
 def test_usage_is_what_the_claims_take_through_claims_ends_and_the_end_of_a_job(old_world):
     first, second = stale_pair(old_world, a=spec(pieces=2), b=spec(pieces=2))
-    assert claim(first, "a", "vm-000000", 3) is not None
-    assert first.book.team("team").cpus == 8.0
+    assert allocation(first, "a", "vm-000000", 3) is not None
+    assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
-    assert first.ledger.change("a", lambda job, _: job.without(ended, 1), {})
-    assert (first.book.team("team").cpus, first.book.team("team").charged[0]) == (4.0, 8.0)
-    second.mirror.catch_up(0.0, "claim")
-    assert claim(second, "b", "vm-000001", 3) is None  # only one more fits
-    assert claim(second, "b", "vm-000001", 1) is not None
-    first.mirror.catch_up(0.0, "claim")
-    assert first.ledger.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 2}, 2), {})
-    assert (first.book.team("team").cpus, first.book.team("team").charged[0]) == (4.0, 4.0)
-    second.mirror.catch_up(0.0, "claim")
-    assert second.book.team("team").cpus == 4.0
+    assert first.job_writer.change("a", lambda job, _: job.without(ended, 1), {})
+    assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 8.0)
+    second.cache.catch_up(0.0, "claim")
+    assert allocation(second, "b", "vm-000001", 3) is None  # only one more fits
+    assert allocation(second, "b", "vm-000001", 1) is not None
+    first.cache.catch_up(0.0, "claim")
+    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 2}, 2), {})
+    assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 4.0)
+    second.cache.catch_up(0.0, "claim")
+    assert second.job_cache.team("team").cpus == 4.0
 
 
 def test_a_cache_that_has_not_heard_of_ends_claims_too_little_and_never_too_much(world):
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
-    assert claim(first, "a", "vm-000000", 3) is not None
-    second.mirror.catch_up(0.0, "claim")
-    assert first.ledger.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 1), {})
-    assert second.book.team("team").cpus == 8.0
-    assert claim(second, "b", "vm-000001", 1) is None
+    assert allocation(first, "a", "vm-000000", 3) is not None
+    second.cache.catch_up(0.0, "claim")
+    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 1), {})
+    assert second.job_cache.team("team").cpus == 8.0
+    assert allocation(second, "b", "vm-000001", 1) is None
 
 
 # Shares: a team's limit in each zone
@@ -358,7 +364,7 @@
 def shared(world, **limit):
     """Two controllers that hold a zone each, and a team with that limit in shares, all of it free."""
     pair = stale_pair(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
-    assert pair[0].book.team("team").shares
+    assert pair[0].job_cache.team("team").shares
     return pair
 
 
@@ -385,9 +391,9 @@
         wanted = job.pending & tasks
         if not controller.settings.teams["team"].allows(usage.plus(job.spec, wanted.bit_count()).cpus, 0.0):
             return None
-        return job.with_claims([Claim(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
+        return job.with_claims([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
 
-    return controller.ledger.change(name, edit, dict([controller.coordinator.condition(grant)]))
+    return controller.job_writer.change(name, edit, dict([controller.coordinator.condition(grant)]))
 
 
 def test_holders_of_two_zones_use_a_limit_up_and_never_more_whatever_they_know_of_each_other(world):
@@ -395,27 +401,27 @@
     assert claim_in(first, "north", "a", 0b111) is not None
     assert claim_in(second, "south", "b", 0b11111111) is None  # only five are left, as it learns by the conflict
     assert claim_in(second, "south", "b", 0b1) is not None
-    shares = second.book.team("team").shares
+    shares = second.job_cache.team("team").shares
     assert sum(row[0] for row in shares.zones.values()) <= 8.0
     # within its share a claim changes nothing but the job, so that it collides with nobody
     before = world.state.revision
     assert claim_in(first, "north", "a", 0b1000) is not None
     assert [row.get("put") for row in world.state.changes if row["stamp"] > before] == ["tidebend/live/job/a"]
     # what the other zone took ahead is not to be had, until its holder gives it back
-    first.mirror.catch_up(0.0, "claim")
+    first.cache.catch_up(0.0, "claim")
     assert claim_in(first, "north", "a", 0b1110000) is None
-    assert second.shares.give_back("team") and not second.shares.give_back("team")
-    first.mirror.catch_up(0.0, "claim")
+    assert second.quota_rebalancer.release_shares("team") and not second.quota_rebalancer.release_shares("team")
+    first.cache.catch_up(0.0, "claim")
     assert claim_in(first, "north", "a", 0b1110000) is not None
-    assert first.book.used("team") == (8.0, 0.0)
+    assert first.job_cache.used("team") == (8.0, 0.0)
 
 
 def test_a_claim_that_may_be_executed_late_is_ended_before_its_team_claims_again(world):
     """Two jobs' claims within one share don't compare each other's records: the late one must not come on top."""
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None
-    share = int(first.book.team("team").shares.zones["north"][0])
-    with transactions_lost(first) as late, pytest.raises(Unknown):
+    share = int(first.job_cache.team("team").shares.zones["north"][0])
+    with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
         claim_in(first, "north", "a", (1 << share) - 1)
     assert claim_in(first, "north", "b", (1 << share - 1) - 1) is not None
     assert world.state.transact(late[0])[0] == 409
@@ -423,15 +429,15 @@
 
 def test_shares_begin_with_what_is_used_and_an_old_reading_of_the_team_claims_nothing_more(old_world, monkeypatch):
     first, second = stale_pair(old_world, a=spec(pieces=2, vcpus=1.0), b=spec(pieces=2, vcpus=1.0))
-    assert claim(first, "a", "vm-000000", 1) is not None
-    second.mirror.catch_up(0.0, "claim")
+    assert allocation(first, "a", "vm-000000", 1) is not None
+    second.cache.catch_up(0.0, "claim")
     old_world.state.transact({"if": [], "writes": [{"put": "tidebend/live/format", "v": {"version": 2}}]})
-    first.mirror.catch_up(0.0, "claim")
-    first.shares.share_out()
-    assert first.book.team("team").shares.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
-    assert second.book.team("team").shares is None
-    assert claim(second, "b", "vm-000001", 1) is not None  # by the shares, that it learns of by the conflict
-    assert second.book.team("team").shares
+    first.cache.catch_up(0.0, "claim")
+    first.quota_rebalancer.establish_shares()
+    assert first.job_cache.team("team").shares.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
+    assert second.job_cache.team("team").shares is None
+    assert allocation(second, "b", "vm-000001", 1) is not None  # by the shares, that it learns of by the conflict
+    assert second.job_cache.team("team").shares
 
 
 def test_several_jobs_go_into_one_transaction_and_share_their_teams_record(world):
@@ -440,10 +446,10 @@
     def make(job, usage):
         if not first.settings.teams["team"].allows(usage.plus(job.spec, 1).cpus, 0.0):
             return None
-        return job.with_claims([Claim("vm-000000", 1, 1, 1, 0.0, "north")])
+        return job.with_claims([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
 
     before = world.state.revision
-    changed = first.ledger.change_all([Edit(name, make) for name in "abc"])
+    changed = first.job_writer.change_all([JobEdit(name, make) for name in "abc"])
     assert sorted(changed) == ["a", "b"]  # the third would be over the limit
     assert world.state.revision == before + 1
 
@@ -452,8 +458,8 @@
     """A job that is over, read before its end was written, next to a team's record read after it, would make the
     team's usage look smaller than it is."""
     first, second = stale_pair(old_world, a=spec(), b=spec())
-    assert claim(first, "a", "vm-000000", 1) is not None
-    assert first.ledger.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 0), {})
+    assert allocation(first, "a", "vm-000000", 1) is not None
+    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
 
     def paged(prefix, after):
@@ -461,14 +467,14 @@
         if after is None:
             page = [row for row in rows if row[0] <= JOB_KEY + "a"]
             # between the pages the job ends for good, and its team's record with it
-            assert first.ledger.change("a", lambda job, _: replace(job, cancelled=True), {})
+            assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
             return page, True, revision
         return [row for row in rows if row[0] > after], False, revision
 
     second.state.items = paged
-    second.mirror._load()
-    assert second.book.get("a") is None
-    assert second.book.team("team").cpus == 0.0
+    second.cache._load()
+    assert second.job_cache.get("a") is None
+    assert second.job_cache.team("team").cpus == 0.0
 
 
 def test_a_kind_that_cannot_be_had_does_not_take_the_calls_of_one_that_can(world, monkeypatch):
@@ -492,9 +498,9 @@
     rentals = world.controllers["n1"].rentals
     now = time.monotonic()
     rentals.coordinator._at_home["north.0"] = ("n0", now)
-    rentals.coordinator.mirror.apply([("tidebend/live/node/n0", None, 10**6)])
-    rentals.coordinator.heard_by_nobody = lambda block: True
-    rentals.link.peers["n0"].blocks = frozenset(held)
+    rentals.coordinator.cache.apply([("tidebend/live/node/n0", None, 10**6)])
+    rentals.coordinator.is_unreachable_by_all = lambda shard: True
+    rentals.peer_exchange.peers["n0"].shards = frozenset(held)
     given_up = []
     rentals.release = given_up.extend
     rentals._silent("north.0", {"vm-000000": now - 6.0}, 1, now)
@@ -511,18 +517,18 @@
     rows = []
     for kind, lost in zip(kinds, (50.0, 0.0), strict=True):
         victim = (lost, ("req-v", 0, 1), 0.0, (8.0, 0.0, 1.0), 1)
-        place = Place(f"m-{kind.name}", kind, "north", False, Timeline(0.0, (0.0, 0.0, 0.0)))
+        place = CandidateMachine(f"m-{kind.name}", kind, "north", False, Timeline(0.0, (0.0, 0.0, 0.0)))
         rows.append((place, replace(machine_with(), name=f"m-{kind.name}"), (0.0, 0.0, 31.0), [victim]))
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
-    want = Want("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, keeps_off_gpus=True)
-    planner.room.for_want(want, 3, list(rows), 0.0)
+    want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, keeps_off_gpus=True)
+    planner.preemptor.for_want(want, 3, list(rows), 0.0)
     assert [bool(machine.stops) for _, machine, _, _ in rows] == [True, False]
 
 
 def test_a_gangs_machine_in_a_cut_zone_is_waited_for_while_another_would_boot_and_fetch(world):
     first, _ = stale_pair(world, a=spec(), g=spec(shape="group", sizeGb=20.0))
-    assert claim(first, "a", "vm-000100", 1) is not None
-    assert claim(first, "g", "vm-000101", 1) is not None
+    assert allocation(first, "a", "vm-000100", 1) is not None
+    assert allocation(first, "g", "vm-000101", 1) is not None
     given_up = []
     first.rentals.release = lambda names: given_up.append(sorted(names))
     now = time.monotonic()
@@ -538,13 +544,13 @@
 def test_what_was_started_directly_and_ended_is_not_cleared_before_a_higher_token_is_confirmed():
     """Its start may be carried out again: once the attempt is forgotten it would run beside what took its place."""
     machine = Machine("m", "box", "north", False, session=1, token=5)
-    machine.direct = {("a", 0, 1): 5, ("a", 1, 1): 4, ("a", 2, 1): 5}
+    machine.direct_starts = {("a", 0, 1): 5, ("a", 1, 1): 4, ("a", 2, 1): 5}
     machine.tasks = {
         ("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False),
         ("a", 1, 1): TaskReport("a", 1, 1, "ended", "stopped", False),
         ("a", 2, 1): TaskReport("a", 2, 1, "ended", "done", False),
     }  # would only end again
-    assert {(c.op, c.index) for c in orders(machine, [], 5, True)} == {("forget", 1), ("forget", 2)}
+    assert {(c.op, c.index) for c in commands_for(machine, [], 5, True)} == {("forget", 1), ("forget", 2)}
     assert machine.kept_since is not None
     machine.token = 6
-    assert ("forget", 0) in {(c.op, c.index) for c in orders(machine, [], 6, True)} and machine.kept_since is None
+    assert ("forget", 0) in {(c.op, c.index) for c in commands_for(machine, [], 6, True)} and machine.kept_since is None
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -133,11 +133,17 @@
         assert polls.count(200) > 0.97 * len(polls)
         assert changes < 4.5 and failed < 0.3, (changes, failed)
         for controller in world.controllers.values():
-            assert len(controller.book.jobs) < 3 and not controller.book._by_machine.keys() - world.workers.keys()
+            assert (
+                len(controller.job_cache.jobs) < 3
+                and not controller.job_cache._by_machine.keys() - world.workers.keys()
+            )
             # no request is under way between steps, so that nothing but the newest read's deletions is kept
-            assert len(controller.mirror._tombstones) <= 20, len(controller.mirror._tombstones)
-            assert len(controller.planner.turns._since) < 3 and len(controller.planner.claims.at) < 3
-            assert len(controller.rentals._cancelled) < 3 and len(controller.planner.ends._since) < 3
+            assert len(controller.cache._tombstones) <= 20, len(controller.cache._tombstones)
+            assert (
+                len(controller.planner.claim_stagger._since) < 3
+                and len(controller.planner.allocator.last_allocation) < 3
+            )
+            assert len(controller.rentals._cancelled) < 3 and len(controller.planner.completions._since) < 3
         late = [after for _, after in starts_after_cancellation(world.log)]
         assert len(late) <= 0.02 * asked and max(late, default=0.0) < 2.0, late
         assert world.now - began > 200.0
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,9 +11,9 @@
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
-from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, orders
+from tidebend.cluster_state.machine_registry import Machine, commands_for
 from tidebend.protocol import TaskReport, parse_job
 
 REPORT, CONTROLLER, WORKER = 1.0, 3.5, 10.0  # seconds: a report's interval, a controller's lease, a worker's
@@ -130,17 +130,17 @@
     """Renewals, writes and looked-up keys were taken for contact; none of them tells what others have changed."""
     for world in busy(1, 1.0, 10.0):
         first = world.controllers["n0"]
-        began = first.mirror.as_of
+        began = first.cache.as_of
         world.unread["n0"] = world.now + 100.0
         world.steady += 5.0
-        assert first.coordinator.keep_lease()
+        assert first.coordinator.renew_lease()
         first.state.get("tidebend/final/req-none")
-        first.ledger.change("req-a", lambda job, _: job, {})
-        assert first.mirror.as_of == began and first.mirror.age_s >= 5.0
+        first.job_writer.change("req-a", lambda job, _: job, {})
+        assert first.cache.as_of == began and first.cache.age_s >= 5.0
         del world.unread["n0"]
         before = world.steady
-        first.mirror.catch_up(0.0, "claim")
-        assert first.mirror.as_of == before
+        first.cache.catch_up(0.0, "claim")
+        assert first.cache.as_of == before
 
 
 def test_a_read_counts_from_when_it_began_however_long_it_took():
@@ -156,19 +156,23 @@
 
         first.state.changes = slow
         before = world.steady
-        first.mirror.catch_up(0.0, "claim")
-        assert first.mirror.as_of == before and first.mirror.age_s >= 4.0
+        first.cache.catch_up(0.0, "claim")
+        assert first.cache.as_of == before and first.cache.age_s >= 4.0
 
 
 def test_stops_come_before_hundreds_of_starts():
     """An answer holds a few hundred commands: stops of what is cancelled stood behind starts and were cut off."""
     small = {**JOB, "pieces": 400, "vcpus": 0.01, "memoryGb": 0.01}
-    waiting = Job("a", 1, parse_job(small), 0.0).with_claims([Claim("vm-000000", 1, 1, (1 << 400) - 1, 0.0, "north")])
-    over = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_claims([Claim("vm-000000", 1, 1, 1, 0.0, "north")])
+    waiting = Job("a", 1, parse_job(small), 0.0).with_claims(
+        [Allocation("vm-000000", 1, 1, (1 << 400) - 1, 0.0, "north")]
+    )
+    over = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_claims(
+        [Allocation("vm-000000", 1, 1, 1, 0.0, "north")]
+    )
     machine = Machine("vm-000000", "box", "north", False, session=1, token=5)
     machine.tasks = {("b", 0, 1): TaskReport("b", 0, 1, "running", None, False)}
-    claims = [(job, claim) for job in (waiting, over) for claim in job.claims]
-    commands = orders(machine, claims, 5, direct=False)
+    allocations = [(job, allocation) for job in (waiting, over) for allocation in job.allocations]
+    commands = commands_for(machine, allocations, 5, direct=False)
     assert (commands[0].op, commands[0].job) == ("stop", "b") and len(commands) == 401
 
 
@@ -180,11 +184,13 @@
         world.state.down(world.now + 60.0)
         while first.coordinator.lease_valid:
             world.step()
-        first.fleet.machines[worker.name].stops[next(iter(first.fleet.machines[worker.name].tasks))] = 0.0
+        first.machine_registry.machines[worker.name].stops[
+            next(iter(first.machine_registry.machines[worker.name].tasks))
+        ] = 0.0
         answer = world.to_controller(worker.name, "n0", "POST", "/v1/report", worker.body())
         assert answer[0] == 200 and answer[1]["orders"] == []
-        record = replace(first.book.get("req-a"), cancelled=True)
-        first.mirror.apply([(record.key, record.pack(), 10**9)])
+        record = replace(first.job_cache.get("req-a"), cancelled=True)
+        first.cache.apply([(record.key, record.pack(), 10**9)])
         answer = world.to_controller(worker.name, "n0", "POST", "/v1/report", worker.body())
         assert answer[1]["orders"] and {row["order"] for row in answer[1]["orders"]} == {"kill"}
 
@@ -197,13 +203,13 @@
     """It had no condition: an old list of unheard blocks stood for good."""
     for world in busy(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
-        first.mirror.catch_up(0.0, "claim")
+        first.cache.catch_up(0.0, "claim")
         world.late_writes.append((world.now + 1.0, 1.0))
-        first.coordinator.unheard("south.0", 6, 30.0)
+        first.coordinator.mark_unreachable("south.0", 6, 30.0)
         world.late_writes.clear()
         assert len(world.under_way) == 1 and world.state.items[key][0]["unheard"] == []
-        first.coordinator.hears("south.0")
-        first.coordinator.unheard("west.0", 6, 30.0)
+        first.coordinator.clear_unreachable("south.0")
+        first.coordinator.mark_unreachable("west.0", 6, 30.0)
         for _ in range(150):
             world.step()
         assert not world.under_way and world.state.items[key][0]["unheard"] == ["west.0"]
@@ -216,11 +222,11 @@
         lease, first.coordinator.lease = first.coordinator.lease, None
         world.state.end(lease)
         world.late_writes.append((world.now + 0.05, 1.0))
-        first.coordinator.keep_lease()
+        first.coordinator.renew_lease()
         world.late_writes.clear()
         world.under_way.clear()
         assert "tidebend/live/node/n0" not in world.state.items
-        assert first.coordinator.keep_lease()
+        assert first.coordinator.renew_lease()
         assert world.state.items["tidebend/live/node/n0"][0]["lease"] == first.coordinator.lease
 
 
@@ -229,7 +235,7 @@
     for world in busy(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
         world.late_writes.append((world.now + 1.0, 1.0))
-        first.coordinator.unheard("south.0", 6, 30.0)
+        first.coordinator.mark_unreachable("south.0", 6, 30.0)
         world.late_writes.clear()
         world.crash("n0", 0.1)
         while key not in world.state.items or world.state.items[key][0]["lease"] == first.coordinator.lease:
@@ -249,10 +255,10 @@
     """One whose `came` was no map ended its connection's thread, and others were taken over by half."""
     for world in busy(1, 1.0, 10.0):
         first, second = first_of(world), world.controllers["n1"]
-        before = repr(first.link.peers["n1"])
+        before = repr(first.peer_exchange.peers["n1"])
         world.steady += 0.5
-        first.link.receive({**second.news(), **changes})
-        assert repr(first.link.peers["n1"]) == before
+        first.peer_exchange.receive({**second.peer_frame(), **changes})
+        assert repr(first.peer_exchange.peers["n1"]) == before
 
 
 @pytest.mark.parametrize(("report_s", "lease_s", "cancel_s"), [(1.0, 10.0, 35.0), (3.0, 14.0, 39.0)])
@@ -277,7 +283,7 @@
         first.coordinator._unheard["south.0"] = world.steady + 30.0  # so that there is something to announce
         world.steady += 3.0
         began = world.steady
-        assert not first.coordinator.keep_lease()
+        assert not first.coordinator.renew_lease()
         assert first.coordinator.lease_until >= began + 3.0
 
 
@@ -287,8 +293,8 @@
         world.crash("n1", 120.0)
         for _ in range(300):
             world.step()
-        blocks = {key: row[0]["holder"] for key, row in world.state.items.items() if "/block/" in key}
-        assert set(blocks.values()) == {"n2"}  # after n0 comes n1
+        shards = {key: row[0]["holder"] for key, row in world.state.items.items() if "/block/" in key}
+        assert set(shards.values()) == {"n2"}  # after n0 comes n1
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         world.frozen["n2"] = world.now + 15.0
         for _ in range(250):
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -4,7 +4,7 @@
 import threading
 
 from tests.test_scenarios import JOB as FIELDS
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.protocol import parse_job
 from tidebend.scheduling import Demand, demands
@@ -12,7 +12,7 @@
 SPEC = parse_job(FIELDS)
 
 
-class CountingBook(JobBook):
+class CountingBook(JobCache):
     """Counts the jobs that are brought up to date: the work that a change costs."""
 
     looked_at = 0
@@ -24,64 +24,64 @@
 
 def book_of(graph):
     """`graph`: for each job those that it names."""
-    book = CountingBook(threading.RLock(), 10)
-    for version, (name, awaits) in enumerate(graph.items(), 1):
-        job = Job(name, 0, SPEC, 100.0, awaits=tuple(awaits))
-        book.on_change(job.key, job.pack(), version)
-    book.looked_at = 0
-    return book
+    job_cache = CountingBook(threading.RLock(), 10)
+    for version, (name, dependencies) in enumerate(graph.items(), 1):
+        job = Job(name, 0, SPEC, 100.0, dependencies=tuple(dependencies))
+        job_cache.on_change(job.key, job.pack(), version)
+    job_cache.looked_at = 0
+    return job_cache
 
 
-def final(book, name, state, at=0.0):
-    book.on_change(f"tidebend/final/{name}", {"state": state, "at": at}, 10**6)
+def final(job_cache, name, state, at=0.0):
+    job_cache.on_change(f"tidebend/final/{name}", {"state": state, "at": at}, 10**6)
 
 
 def test_a_cancellation_goes_down_a_deep_chain_and_looks_at_each_job_once():
     depth = 3000
-    book = book_of({f"req-{n}": [f"req-{n - 1}"] if n else [] for n in range(depth)})
-    final(book, "req-0", "cancelled")
-    assert all(book.final(f"req-{n}") == "cancelled" for n in range(depth))
-    assert book.looked_at <= depth
+    job_cache = book_of({f"req-{n}": [f"req-{n - 1}"] if n else [] for n in range(depth)})
+    final(job_cache, "req-0", "cancelled")
+    assert all(job_cache.final(f"req-{n}") == "cancelled" for n in range(depth))
+    assert job_cache.looked_at <= depth
 
 
 def test_hundreds_of_waiting_jobs_cost_nothing_while_they_wait_and_one_look_when_they_may_start():
     wide = 400
-    book = book_of({"req-0": [], **{f"req-{n}": ["req-0"] for n in range(1, wide)}})
+    job_cache = book_of({"req-0": [], **{f"req-{n}": ["req-0"] for n in range(1, wide)}})
     claimed = Job("req-0", 0, SPEC, 100.0, started=1)
-    book.on_change(JOB + "req-0", claimed.pack(), 5000)
-    assert book.looked_at == 1  # the others aren't looked at when what they wait for goes on
-    assert [job.id for job in book.live() if job.pending] == ["req-0"]
-    book.on_change(JOB + "req-0", None, 5001)
-    final(book, "req-0", "done", 130.0)
-    assert book.looked_at <= wide and all(job.pending and job.since == 130.0 for job in book.live())
+    job_cache.on_change(JOB + "req-0", claimed.pack(), 5000)
+    assert job_cache.looked_at == 1  # the others aren't looked at when what they wait for goes on
+    assert [job.id for job in job_cache.live() if job.pending] == ["req-0"]
+    job_cache.on_change(JOB + "req-0", None, 5001)
+    final(job_cache, "req-0", "done", 130.0)
+    assert job_cache.looked_at <= wide and all(job.pending and job.since == 130.0 for job in job_cache.live())
 
 
 def test_a_diamond_waits_for_both_sides_and_readiness_is_the_last_of_them():
-    book = book_of({"req-a": [], "req-b": ["req-a"], "req-c": ["req-a"], "req-d": ["req-b", "req-c"]})
+    job_cache = book_of({"req-a": [], "req-b": ["req-a"], "req-c": ["req-a"], "req-d": ["req-b", "req-c"]})
     for name, at in (("req-a", 110.0), ("req-c", 140.0)):
-        final(book, name, "done", at)
-    assert book.get("req-d").held and not book.get("req-b").held
-    final(book, "req-b", "done", 120.0)
-    assert (book.get("req-d").held, book.get("req-d").since) == (False, 140.0)
+        final(job_cache, name, "done", at)
+    assert job_cache.get("req-d").blocked and not job_cache.get("req-b").blocked
+    final(job_cache, "req-b", "done", 120.0)
+    assert (job_cache.get("req-d").blocked, job_cache.get("req-d").since) == (False, 140.0)
     # the first claim records it in place of the names
-    recorded = Job.unpack("req-d", book.get("req-d").with_claims([]).pack(), 9)
-    assert (recorded.awaits, recorded.ready, recorded.held, recorded.key) == ((), 140.0, False, HEAD + "req-d")
+    recorded = Job.unpack("req-d", job_cache.get("req-d").with_claims([]).pack(), 9)
+    assert (recorded.dependencies, recorded.ready, recorded.blocked, recorded.key) == ((), 140.0, False, HEAD + "req-d")
 
 
 def test_what_is_over_and_unknown_is_asked_for_and_holds_what_needs_it_until_then():
-    book = book_of({"req-b": ["req-a"], "req-c": ["req-b"]})  # after a restart: req-a ended before
-    assert book.unresolved() == book.unresolved("req-c") == ["req-a"]
-    assert book.get("req-c").held and book.final("req-c") is None
-    final(book, "req-a", "cancelled")
-    assert book.unresolved() == [] and book.final("req-c") == "cancelled"
+    job_cache = book_of({"req-b": ["req-a"], "req-c": ["req-b"]})  # after a restart: req-a ended before
+    assert job_cache.unresolved() == job_cache.unresolved("req-c") == ["req-a"]
+    assert job_cache.get("req-c").blocked and job_cache.final("req-c") is None
+    final(job_cache, "req-a", "cancelled")
+    assert job_cache.unresolved() == [] and job_cache.final("req-c") == "cancelled"
 
 
 def test_finals_that_are_needed_outlive_the_cache_of_finals():
-    book = book_of({"req-b": ["req-a", "req-z"]})
-    final(book, "req-a", "cancelled")
+    job_cache = book_of({"req-b": ["req-a", "req-z"]})
+    final(job_cache, "req-a", "cancelled")
     for n in range(50):
-        final(book, f"req-n{n}", "done")
-    assert book.final("req-b") == "cancelled" and book.unresolved() == ["req-z"]
+        final(job_cache, f"req-n{n}", "done")
+    assert job_cache.final("req-b") == "cancelled" and job_cache.unresolved() == ["req-z"]
 
 
 def test_deadline_and_priority_of_the_last_job_reach_all_that_it_needs_less_the_critical_path():
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tidebend.kvclient import Mirror, StateClient
+from tidebend.kvclient import KeyValueClient, WatchCache
 from tidebend.settings import Limits
 
 LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
@@ -28,20 +28,20 @@
 
 
 @pytest.fixture
-def mirror():
-    made = Mirror(Counted(), lambda *row: None, threading.RLock(), 1.0, 1.0)
+def cache():
+    made = WatchCache(Counted(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     made.catch_up(0.0, "claim")
     threading.Thread(target=made._reader, daemon=True).start()
     return made
 
 
-def test_polls_share_reads_that_begin_a_pause_apart_and_all_are_answered(mirror):
+def test_polls_share_reads_that_begin_a_pause_apart_and_all_are_answered(cache):
     """Each poll's read went off by itself: what the state service has was gone before leases were renewed."""
     answers = []
 
     def users():
         for _ in range(10):
-            answers.append(mirror.barrier(1.2))
+            answers.append(cache.barrier(1.2))
             time.sleep(0.02)
 
     threads = [threading.Thread(target=users) for _ in range(20)]
@@ -52,18 +52,18 @@
         thread.join()
     spent = time.monotonic() - began
     assert len(answers) == 200 and all(answers)
-    assert len(mirror.state.reads) <= spent / mirror.state.poll_pause_s + 2
+    assert len(cache.state.reads) <= spent / cache.state.poll_pause_s + 2
 
 
-def test_a_claim_does_not_wait_for_the_polls_next_read(mirror):
-    assert mirror.barrier(1.2)
-    poll = threading.Thread(target=mirror.barrier, args=(1.2,))
+def test_a_claim_does_not_wait_for_the_polls_next_read(cache):
+    assert cache.barrier(1.2)
+    poll = threading.Thread(target=cache.barrier, args=(1.2,))
     poll.start()
     began = time.monotonic()
-    assert mirror.barrier(1.2, "claim")
-    assert time.monotonic() - began < 0.5 * mirror.state.poll_pause_s
+    assert cache.barrier(1.2, "claim")
+    assert time.monotonic() - began < 0.5 * cache.state.poll_pause_s
     poll.join()
-    assert [kind for _, kind in mirror.state.reads] == ["poll", "claim"]  # the poll has joined the claim's
+    assert [kind for _, kind in cache.state.reads] == ["poll", "claim"]  # the poll has joined the claim's
 
 
 class Refusing:
@@ -79,7 +79,7 @@
 
 def test_a_lease_is_renewed_though_others_have_used_up_the_second():
     """It was tried again after a quarter of a controller's lease at the most, and ended after four refusals."""
-    client = StateClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
+    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
     began = time.monotonic()
     assert client.grant_lease(3.5) == 7
     assert client.extend_lease(7)
@@ -88,7 +88,7 @@
 
 def test_polls_are_held_back_only_while_the_service_refuses_requests_for_the_rate():
     """Held back always, they kept caches older than they need be: claims collided, and guarantees came later."""
-    client = StateClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
+    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
     often = client.poll_pause_s
     client._http.left = 6
     client.grant_lease(3.5)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -11,10 +11,10 @@
 from tidebend.cluster_state.task_bitmap import from_text, lowest, to_text
 from tidebend.protocol import JobSpec, MachineType
 from tidebend.scheduling import (
-    Place,
+    CandidateMachine,
+    TaskRequest,
     Timeline,
     Value,
-    Want,
     allowed_on,
     map_tasks,
     need_of,
@@ -57,12 +57,12 @@
     timeline = Timeline(0.0, (8.0, 0.0, 32.0))
     for start, end, cpus in busy:
         timeline.take(start, end, (cpus, 0.0, 0.0))
-    return Place(name, KIND, zone, spot, timeline)
+    return CandidateMachine(name, KIND, zone, spot, timeline)
 
 
 def want(job, **changes):
     made = spec(**changes)
-    return Want(
+    return TaskRequest(
         job, made, value_of(own_demand(made, 0.0, made.estimate_s), 0.0, made.estimate_s), made.estimate_s, made.tasks
     )
 
@@ -99,7 +99,7 @@
 
 
 def test_spread_counts_places_still_held():
-    service = Want(
+    service = TaskRequest(
         "s", spec(kind="service", spread=True, spot=False, tasks=2), Value(1, 1, 0, 1), 10.0, 1, zones={"north": 1}
     )
     placed = map_tasks([service], [place("a"), place("b", "south")], 0.0, 100.0)
@@ -227,6 +227,8 @@
     kind = MachineType("box", 8.0, 0.0, 32.0, 50.0, 1.0, 1.0, 0.4, 10.0, ("a", "b", "c"))
     capacities = [Capacity(kind, zone, False, (8.0, 0.0, 32.0)) for zone in free]
     offers = [Offer(kind, zone, False) for zone in offered]
-    gang = Want("g", spec(kind="gang", tasks=2, cpus=6.0, one_zone=one_zone), Value(1.0, 0.0, 1000.0, 2000.0), 10.0, 2)
+    gang = TaskRequest(
+        "g", spec(kind="gang", tasks=2, cpus=6.0, one_zone=one_zone), Value(1.0, 0.0, 1000.0, 2000.0), 10.0, 2
+    )
     rented = to_rent([gang], capacities, offers, 0.0, {})
     assert {rental.offer.zone: rental.machines for rental in rented} == expected
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -5,7 +5,7 @@
 from lab.__main__ import main
 from lab.checker import forgotten
 from lab.search import FAULTS, MEETINGS, play, play_with
-from tidebend.controller.api.job_api import Users, unsure
+from tidebend.controller.api.job_api import JobApi, unavailable_reply
 
 
 @pytest.mark.parametrize("first", range(0, 60, 10))
@@ -79,8 +79,8 @@
 
 def test_a_controller_that_answers_nothing_after_the_calm_is_found(monkeypatch):
     """Others answered each poll within 75 s, so that only asking each controller shows it."""
-    honest = Users.poll
+    honest = JobApi.poll
     monkeypatch.setattr(
-        Users, "poll", lambda self, name: unsure("x") if self.settings.name == "n1" else honest(self, name)
+        JobApi, "poll", lambda self, name: unavailable_reply("x") if self.settings.name == "n1" else honest(self, name)
     )
     assert any("n1 answers 503" in row[2] for row in play(1)["breaches"])
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -40,9 +40,9 @@
         world.steady += seconds
         slept.append(seconds)
         if len(slept) == 5:
-            controller.mirror.catch_up(0.0, "claim")
+            controller.cache.catch_up(0.0, "claim")
         if len(slept) == 8:
-            controller.rentals.lead_once()
+            controller.rentals.scale_once()
 
     monkeypatch.setattr(time, "sleep", sleep)
     world.jobs["req-000001"] = {"id": "req-000001", **JOB}
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -15,10 +15,10 @@
     world,
 )
 from tests.test_scheduling import place, want
-from tidebend.cluster_state.allocations import Claim
-from tidebend.controller.records.job_writer import Edit
-from tidebend.kvclient import Unknown
-from tidebend.scheduling import Owed, map_tasks
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.controller.records.job_writer import JobEdit
+from tidebend.kvclient import OutcomeUnknownError
+from tidebend.scheduling import GuaranteeBalance, map_tasks
 
 
 def ending(tasks):
@@ -31,7 +31,7 @@
     def edit(job, usage):
         if not limit.allows(usage.plus(job.spec, tasks.bit_count()).cpus, 0.0):
             return None
-        return job.with_claims([Claim("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
+        return job.with_claims([Allocation("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
 
     return edit
 
@@ -40,32 +40,32 @@
     first, _ = shared(world)
     held = dict([first.coordinator.condition(first.coordinator.grant("north.0"))])
     assert claim_in(first, "north", "a", 0b11111111) is not None  # all of the limit
-    assert first.ledger.change_all([Edit("b", claiming(first, 0b11), held)]) == {}
+    assert first.job_writer.change_all([JobEdit("b", claiming(first, 0b11), held)]) == {}
     # the ends' own condition fails: nobody may use what they would have freed
-    lost = Edit("a", ending(0b11), {"tidebend/live/block/north.0": 1})
-    assert first.ledger.change_all([lost, Edit("b", claiming(first, 0b11), held)]) == {}
+    lost = JobEdit("a", ending(0b11), {"tidebend/live/block/north.0": 1})
+    assert first.job_writer.change_all([lost, JobEdit("b", claiming(first, 0b11), held)]) == {}
     before = world.state.revision
-    made = first.ledger.change_all([Edit("a", ending(0b11), held), Edit("b", claiming(first, 0b11), held)])
+    made = first.job_writer.change_all([JobEdit("a", ending(0b11), held), JobEdit("b", claiming(first, 0b11), held)])
     assert sorted(made) == ["a", "b"] and world.state.revision == before + 1
-    assert first.book.used("team") == (8.0, 0.0)
+    assert first.job_cache.used("team") == (8.0, 0.0)
 
 
 def test_a_holder_without_a_machine_that_it_can_use_gives_shares_back(world):  # noqa: F811
     """A zone was cut off: whoever took its block hears nobody there, and the team waits elsewhere for the share."""
     first, second = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
-    second.mirror.catch_up(0.0, "claim")
+    second.cache.catch_up(0.0, "claim")
     tasks = 0
     while claim_in(second, "south", "b", 1 << tasks) is not None:
         tasks += 1
     assert tasks < 7
-    for machine in first.fleet.all():
-        machine.heard = -1e9
-    first.mirror.catch_up(0.0, "claim")
+    for machine in first.machine_registry.all():
+        machine.last_heartbeat = -1e9
+    first.cache.catch_up(0.0, "claim")
     first.planner.mapping_event()
-    world.steady += 2 * first.planner.ends.claim_pause_s
+    world.steady += 2 * first.planner.completions.allocation_pause_s
     first.planner.mapping_event()
-    second.mirror.catch_up(0.0, "claim")
+    second.cache.catch_up(0.0, "claim")
     while claim_in(second, "south", "b", 1 << tasks) is not None:
         tasks += 1
     assert tasks == 7
@@ -75,8 +75,8 @@
     """Found by the model: a claim within a share only compares it, so that the late change would still be executed."""
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
-    with transactions_lost(first) as late, pytest.raises(Unknown):
-        first.shares.give_back("team")
+    with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
+        first.quota_rebalancer.release_shares("team")
     assert claim_in(first, "north", "a", 0b10) is not None
     assert world.state.transact(late[0])[0] == 409
     assert world.state.items["tidebend/live/quota/team"][0]["north"][0] >= 2.0
@@ -102,25 +102,25 @@
     assert claim_in(first, "north", "a", 0b111111) is not None
     for controller in (first, second):
         controller.settings.teams["team"] = replace(controller.settings.teams["team"], cpus_max=8.0)
-        controller.mirror.catch_up(0.0, "claim")
-    first.shares.share_out()  # the leader's
+        controller.cache.catch_up(0.0, "claim")
+    first.quota_rebalancer.establish_shares()  # the leader's
     assert claim_in(second, "south", "b", 0b111) is None
     assert claim_in(second, "south", "b", 0b11) is not None
 
 
 def test_a_gang_that_needs_more_than_is_free_has_shares_given_back(world):  # noqa: F811
     first, _ = stale_pair(world, g=spec(shape="group", pieces=6, vcpus=1.0))
-    reclaims, job = first.planner.reclaims, first.book.get("g")
-    shares = first.book.team("team").shares
+    quota_releaser, job = first.planner.quota_releaser, first.job_cache.get("g")
+    shares = first.job_cache.team("team").shares
     assert shares is not None
     value = {"north": [1.0, 0.0], "south": [2.0, 0.0]}  # five are free, and the gang takes six
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
-    first.mirror.catch_up(0.0, "claim")
-    assert reclaims._short([job]) == {"team"}
+    first.cache.catch_up(0.0, "claim")
+    assert quota_releaser._short([job]) == {"team"}
     value["south"] = [1.0, 0.0]
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
-    first.mirror.catch_up(0.0, "claim")
-    assert reclaims._short([job]) == set()
+    first.cache.catch_up(0.0, "claim")
+    assert quota_releaser._short([job]) == set()
 
 
 def started(placements, job):
@@ -133,7 +133,7 @@
     greedy = want("greedy", team="greedy", tasks=10)
     greedy.reserved = greedy.value.soft
     small = want("small", team="small", tasks=8)
-    owed = {"small": Owed(16.0, 0.0), "greedy": Owed(-100.0, 0.0)}
+    owed = {"small": GuaranteeBalance(16.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
     placements = map_tasks([greedy, small], places, 0.0, 60.0, owed)
     assert (started(placements, "small"), started(placements, "greedy")) == (4, 2)
     assert owed["small"].cpus == 0.0
@@ -144,23 +144,23 @@
     greedy.reserved = greedy.value.soft
     gang = want("gang", team="small", kind="gang", tasks=3)
     places = [place(f"m{number}") for number in range(2)]
-    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": Owed(8.0, 0.0)}), "gang") == 0
+    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 0
     greedy = want("greedy", team="greedy", tasks=6)
     greedy.reserved = greedy.value.soft
     gang = want("gang", team="small", kind="gang", tasks=3)
     places = [place(f"m{number}") for number in range(2)]
-    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": Owed(12.0, 0.0)}), "gang") == 3
+    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(12.0, 0.0)}), "gang") == 3
 
 
 def test_a_gang_that_is_owed_in_part_only_is_placed_like_what_is_borrowed():
     gang = want("gang", team="small", kind="gang", tasks=3)
     places = [place(f"m{number}") for number in range(2)]
-    assert started(map_tasks([gang], places, 0.0, 60.0, {"small": Owed(8.0, 0.0)}), "gang") == 3
+    assert started(map_tasks([gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 3
 
 
 def test_borrowed_work_of_a_higher_priority_takes_part_in_the_pick_on_equal_terms():
     urgent = want("urgent", team="greedy", tasks=2, priority="high")
     small = want("small", team="small", tasks=8)
-    owed = {"small": Owed(100.0, 0.0), "greedy": Owed(-100.0, 0.0)}
+    owed = {"small": GuaranteeBalance(100.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
     placements = map_tasks([small, urgent], [place(f"m{number}") for number in range(2)], 0.0, 60.0, owed)
     assert (started(placements, "urgent"), started(placements, "small")) == (2, 2)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -11,9 +11,9 @@
 from lab.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
-from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.controller.records.completions import Setback
+from tidebend.controller.records.completions import RetryBackoff
 from tidebend.protocol import TaskReport, parse_job
 
 ZONES = ["north", "south", "west"]
@@ -58,19 +58,19 @@
     for world in busy(1, 3.0, 14.0):
         first = world.controllers["n0"]
         before = first.coordinator.grant("north.0")
-        first.coordinator.raise_token(before)
-        first.coordinator.tend_blocks()
+        first.coordinator.raise_fencing_token(before)
+        first.coordinator.maintain_shards()
         after = first.coordinator.grant("north.0")
-        assert after.token > before.token and after.since > before.since and after.held == before.held
+        assert after.token > before.token and after.since > before.since and after.held_since == before.held_since
         # given by whoever leads, another may have heard the machines meanwhile
         first.coordinator._put_block("north.0", after.token, "n1", world.controllers["n1"].coordinator.lease)
-        first.mirror.catch_up(0.0, "claim")
-        _, version = first.mirror.get("tidebend/live/block/north.0")
+        first.cache.catch_up(0.0, "claim")
+        _, version = first.cache.get("tidebend/live/block/north.0")
         first.coordinator._put_block("north.0", version, "n0", first.coordinator.lease)
         world.now += 1.0
         world.steady += 1.0
-        first.coordinator.tend_blocks()
-        assert first.coordinator.grant("north.0").held > before.held
+        first.coordinator.maintain_shards()
+        assert first.coordinator.grant("north.0").held_since > before.held_since
 
 
 def test_a_block_without_a_holder_goes_where_the_next_controller_is_alive():
@@ -101,13 +101,13 @@
         worker = next(worker for worker in world.workers.values() if worker.zone == "south")
         old = [report_of(worker) for _ in range(4)]
         first = world.controllers["n0"]
-        came = first.witness.came_ago().get("south.0", 1e9)
+        came = first.zone_probe.report_ages().get("south.0", 1e9)
         assert late(first, old[3]).status == 421  # not ours: whoever it is, it came
-        assert first.witness.came_ago()["south.0"] < came
+        assert first.zone_probe.report_ages()["south.0"] < came
         world.steady += 2.0
         late(first, old[0])
         late(first, old[3])
-        assert first.witness.came_ago()["south.0"] >= 2.0
+        assert first.zone_probe.report_ages()["south.0"] >= 2.0
         del world.workers[worker.name]
         world.crash("n1", 30.0)
         while not first.coordinator.grant("south.0") and not world.controllers["n2"].coordinator.grant("south.0"):
@@ -115,13 +115,13 @@
         holder = next(
             world.controllers[node] for node in ("n0", "n2") if world.controllers[node].coordinator.grant("south.0")
         )
-        holder.fleet.drop([worker.name])
+        holder.machine_registry.forget([worker.name])
         began = world.steady
         for raw in old:
             late(holder, raw)
             world.steady += 0.5
-        assert holder.fleet.machines[worker.name].heard <= began  # the first alone
-        assert worker.name not in holder.planner.places.all(world.steady, time.time())
+        assert holder.machine_registry.machines[worker.name].last_heartbeat <= began  # the first alone
+        assert worker.name not in holder.planner.free_capacity.all(world.steady, time.time())
 
 
 TROUBLES = {
@@ -199,10 +199,10 @@
     for world in busy(1, 1.0, 10.0):
         holder = world.controllers["n0"]
         worker = next(worker for worker in world.workers.values() if worker.zone == "north")
-        before = repr(holder.fleet.machines[worker.name])
+        before = repr(holder.machine_registry.machines[worker.name])
         reply = late(holder, report_of(worker, **changes))
         assert reply.status == 400 and len(reply.body["error"]) > 10
-        assert repr(holder.fleet.machines[worker.name]) == before
+        assert repr(holder.machine_registry.machines[worker.name]) == before
 
 
 def test_who_asks_a_controller_that_is_out_of_touch_alone_finds_another_at_once():
@@ -216,7 +216,7 @@
             world.step()
         reply = first.route(*poll)
         assert (reply.status, reply.closes) == (503, True)
-        for peer in first.link.peers.values():
+        for peer in first.peer_exchange.peers.values():
             peer.at = -1e9  # as far as it knows nobody can answer: no use in connecting anew
         assert not first.route(*poll).closes
 
@@ -225,12 +225,14 @@
     """Its other replicas hold their places for ever: taken for tries, they would keep it from being tried."""
     for world in busy(1, 1.0, 10.0):
         first = world.controllers["n0"]
-        first.planner.ends.setbacks["req-s"] = Setback(failures=3, machines=dict.fromkeys(["a", "b", "c"], 0.0))
+        first.planner.completions.backoffs["req-s"] = RetryBackoff(
+            failures=3, machines=dict.fromkeys(["a", "b", "c"], 0.0)
+        )
         spec = parse_job({**JOB, "shape": "service", "pieces": 2})
-        claimed = Job("req-s", 1, spec, 0.0).with_claims([Claim("vm-far", 1, 1, 1, time.time(), "south")])
-        assert first.planner.ends.at_fault(claimed, time.monotonic())
+        claimed = Job("req-s", 1, spec, 0.0).with_claims([Allocation("vm-far", 1, 1, 1, time.time(), "south")])
+        assert first.planner.completions.is_crash_looping(claimed, time.monotonic())
         world.now += 2.5 * 10.0
-        assert not first.planner.ends.at_fault(claimed, time.monotonic())
+        assert not first.planner.completions.is_crash_looping(claimed, time.monotonic())
 
 
 def test_a_gangs_replacement_avoids_the_machine_that_still_knows_its_attempt():
@@ -238,8 +240,8 @@
     for world in busy(1, 1.0, 10.0):
         first = world.controllers["n0"]
         spec = parse_job({**JOB, "shape": "group", "pieces": 2})
-        gang = Job("req-g", 1, spec, 0.0).with_claims([Claim("vm-000001", 1, 1, 1, time.time(), "north")])
-        machine = first.fleet.machines["vm-000000"]
+        gang = Job("req-g", 1, spec, 0.0).with_claims([Allocation("vm-000001", 1, 1, 1, time.time(), "north")])
+        machine = first.machine_registry.machines["vm-000000"]
         machine.tasks["req-g", 1, 1] = TaskReport("req-g", 1, 1, "ended", "error", False)
-        assert first.planner.waiting._know_the_attempt(gang) == {"vm-000000"}
-        assert not first.planner.waiting._know_the_attempt(Job("req-g", 1, spec, 0.0))
+        assert first.planner.pending_jobs._know_the_attempt(gang) == {"vm-000000"}
+        assert not first.planner.pending_jobs._know_the_attempt(Job("req-g", 1, spec, 0.0))
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,8 +7,9 @@
 import pytest
 
 from lab.world import World
+from tests.test_guards import begun
 from tests.test_scenarios import Scenario
-from tidebend.cluster_state.job_cache import JobBook, pack_final, unpack_final
+from tidebend.cluster_state.job_cache import JobCache, pack_final, unpack_final
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.coordination.schema_version import FORMAT, READS
 
@@ -42,18 +43,18 @@
 def test_a_job_as_production_wrote_it_is_read_and_written_as_it_was(sample):
     job = Job.unpack(sample["key"][len(JOB) :], sample["value"], 7)
     assert json.loads(json.dumps(job.pack())) == sample["value"]
-    assert job.key == sample["key"] and not job.held
+    assert job.key == sample["key"] and not job.blocked
 
 
 def test_productions_teams_and_finals_are_read():
     import threading
 
-    book = JobBook(threading.RLock(), 10)
+    job_cache = JobCache(threading.RLock(), 10)
     for version, (key, value) in enumerate(SAMPLES["items"].items(), 1):
-        book.on_change(key, value, version)
-    ended = sum(job.ended * job.spec.cpus for job in book.live())
-    assert book.team("team").cpus == pytest.approx(SAMPLES["items"]["tidebend/live/team/team"][0] - ended)
-    assert book.final("req-a") == "done" and book.final("req-c") == "cancelled"
+        job_cache.on_change(key, value, version)
+    ended = sum(job.ended * job.spec.cpus for job in job_cache.live())
+    assert job_cache.team("team").cpus == pytest.approx(SAMPLES["items"]["tidebend/live/team/team"][0] - ended)
+    assert job_cache.final("req-a") == "done" and job_cache.final("req-c") == "cancelled"
     assert unpack_final(pack_final("done", 5.0, plain=True)) == ("done", 0.0)
     assert pack_final("done", 5.0, plain=True) == SAMPLES["items"]["tidebend/final/req-a"]
     assert unpack_final(pack_final("done", 5.0, plain=False)) == ("done", 5.0)
@@ -77,7 +78,7 @@
         elif kind(key) in known:
             # what a node can't hear is a list of texts that is mostly empty
             assert shape(value) in known[kind(key)] or "unheard" in value, (key, value)
-    frame = json.loads(json.dumps(world.controllers["n0"].news()))
+    frame = json.loads(json.dumps(world.controllers["n0"].peer_frame()))
     assert list(frame) == list(SAMPLES["frame"])
     assert [type(part) for part in frame["machines"][0]] == [type(part) for part in SAMPLES["frame"]["machines"][0]]
 
@@ -112,11 +113,23 @@
         world.jobs["req-a"] = {key: value for key, value in awaiting("req-a").items() if key != "awaits"}
         assert world.user("submit", "req-a", "n0")[0] == 201
         raw = json.dumps(awaiting("req-b")).encode()
-        reply = world.controllers["n0"].users.submit(raw)
+        reply = world.controllers["n0"].job_api.submit(raw)
         assert reply.status == 503 and reply.headers["Retry-After"]
         assert HEAD + "req-b" not in world.state.items
         for _ in range(80):
             world.step()
         assert world.state.items[FORMAT][0] == {"version": 2}
-        assert world.controllers["n0"].users.submit(raw).status == 201
+        assert world.controllers["n0"].job_api.submit(raw).status == 201
         assert HEAD + "req-b" in world.state.items and JOB + "req-b" not in world.state.items
+
+
+@pytest.fixture
+def world():
+    yield from begun()
+
+
+def test_the_frames_between_controllers_keep_their_fields(world):
+    """Versions of both kinds exchange them during a roll, and a field under another name is passed over in silence."""
+    frame = world.controllers["n0"].peer_frame()
+    assert frame.keys() == {"from", "state_contact", "machines", "held", "blocks", "at_fault", "came"}
+    assert all(len(row) == 8 for row in frame["machines"]) and frame["machines"]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -6,12 +6,12 @@
 
 from lab.links import Cut
 from tests.test_guards import begun, in_parts, spec
-from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.coordination.coordinator import ZONE
-from tidebend.zone_failover import Hold, Standing, leave, part_of, without
+from tidebend.zone_failover import IsolationWindow, MachineContents, leave, share_of_tasks, without
 
-HOLD = Hold(begin=90.0, until=100.0, end=115.0)
+HOLD = IsolationWindow(begin=90.0, until=100.0, end=115.0)
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
 
 @given(st.integers(1, 60), st.sampled_from([0.5, 1.0, 2.0, 4.0]))
 def test_replicas_leave_in_even_turns_and_none_stays_to_the_end(machines, turn_s):
-    gone = given_up([Standing(f"m{n:02}", replicas=1 + n % 2) for n in range(machines)], turn_s)
+    gone = given_up([MachineContents(f"m{n:02}", replicas=1 + n % 2) for n in range(machines)], turn_s)
     assert len(gone) == machines
     assert min(gone.values()) >= HOLD.begin and max(gone.values()) <= HOLD.end + turn_s
     turns = (HOLD.end - HOLD.begin) / turn_s
@@ -44,36 +44,38 @@
 def test_batch_work_that_ends_inside_is_waited_for_and_the_rest_begins_anew_elsewhere():
     gone = given_up(
         [
-            Standing("ends", ends=(105.0,)),
-            Standing("two", ends=(103.0, 200.0)),
-            Standing("idle"),
-            Standing("long", ends=(130.0,)),
-            Standing("over", ends=(85.0,)),
-            Standing("gang", ends=(200.0,), worth_s=20.0),
+            MachineContents("ends", ends=(105.0,)),
+            MachineContents("two", ends=(103.0, 200.0)),
+            MachineContents("idle"),
+            MachineContents("long", ends=(130.0,)),
+            MachineContents("over", ends=(85.0,)),
+            MachineContents("gang", ends=(200.0,), worth_s=20.0),
         ]
     )
     assert gone == {"long": 101.0, "over": 101.0, "idle": 101.0, "two": 103.0, "ends": 105.0, "gang": 121.0}
 
 
 def test_nothing_leaves_a_zone_that_comes_back_before_its_replicas_had_to():
-    rows = [Standing("a", replicas=2), Standing("b", ends=(300.0,))]
+    rows = [MachineContents("a", replicas=2), MachineContents("b", ends=(300.0,))]
     assert not [name for now in range(80, 90) for name in leave(rows, HOLD, float(now), 1.0)]
 
 
 @given(st.integers(0, 100), st.integers(1, 9))
 def test_room_for_each_replica_is_held_by_just_one_holder(tasks, holders):
-    shares = [part_of(tasks, [number], holders) for number in range(holders)]
-    assert sum(shares) == tasks == part_of(tasks, list(range(holders)), holders)
+    shares = [share_of_tasks(tasks, [number], holders) for number in range(holders)]
+    assert sum(shares) == tasks == share_of_tasks(tasks, list(range(holders)), holders)
     assert max(shares) - min(shares) <= 1
 
 
 def test_a_job_without_what_it_has_in_lost_zones_waits_for_just_that():
     made = spec(shape="service", pieces=4, spread=True)
-    claims = tuple(Claim(f"m{n}", 1, 1, 1 << n, 0.0, zone) for n, zone in enumerate(["north", "south", "north"]))
+    allocations = tuple(
+        Allocation(f"m{n}", 1, 1, 1 << n, 0.0, zone) for n, zone in enumerate(["north", "south", "north"])
+    )
     for job in (Job("s", 0, made, 0.0), in_parts(made, "s")):
-        left = without(job.with_claims(claims), {"north"})
+        left = without(job.with_claims(allocations), {"north"})
         assert left.pending == 0b1101 and left.per_zone() == {"south": 1}
-        assert without(job.with_claims(claims), {"west"}) is None
+        assert without(job.with_claims(allocations), {"west"}) is None
 
 
 def cut_off(world, node, zone, for_s):
@@ -93,7 +95,7 @@
     """It took a silence of each holder's own, one after the other: by then all that stood there was lost."""
     outside = world.controllers["n1"]
     cut_off(world, "n0", "north", 60.0)
-    took = seconds_until(world, lambda: outside.coordinator.lost_zones() == {"north"})
+    took = seconds_until(world, lambda: outside.coordinator.unreachable_zones() == {"north"})
     settings = outside.settings
     assert took <= settings.controller_lease_s + 2.0 * settings.report_s + 2.0
     # and it is on record for whoever is started meanwhile
@@ -102,11 +104,11 @@
     world.crash("n1", 0.25)
     assert (
         seconds_until(
-            world, lambda: world.controllers["n1"] is not None and world.controllers["n1"].mirror.loaded.is_set()
+            world, lambda: world.controllers["n1"] is not None and world.controllers["n1"].cache.loaded.is_set()
         )
         < 2.0
     )
-    assert world.controllers["n1"].coordinator.left_alone("north.0")[0] == "n0"
+    assert world.controllers["n1"].coordinator.isolated_holder("north.0")[0] == "n0"
 
 
 def test_the_record_of_a_lost_zone_goes_when_its_controller_is_back(world):
@@ -122,14 +124,14 @@
     outside = world.controllers["n1"]
     for _ in range(200):
         world.step()
-        assert outside.coordinator.lost_zones() == set()
+        assert outside.coordinator.unreachable_zones() == set()
 
 
 def test_what_others_gave_back_is_not_taken_for_silent(world):
     """A controller that came back from a cut took its zone for lost again by machines that were long gone."""
     rentals = world.controllers["n0"].rentals
-    peer = rentals.link.peers["n1"]
-    assert "vm-000000" in rentals.fleet.machines
+    peer = rentals.peer_exchange.peers["n1"]
+    assert "vm-000000" in rentals.machine_registry.machines
     peer.machines = [*(peer.machines or ()), ["vm-000000", "", "", 0, 1, "", 0, 0]]
-    rentals.guard_once()
-    assert "vm-000000" not in rentals.fleet.machines
+    rentals.check_machines_once()
+    assert "vm-000000" not in rentals.machine_registry.machines
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -5,7 +5,7 @@
 import math
 
 from tidebend.autoscaling.capacity import Capacity, Offer, Rental
-from tidebend.scheduling import EPSILON, Want, need_of, times_fit
+from tidebend.scheduling import EPSILON, TaskRequest, need_of, times_fit
 
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
@@ -14,17 +14,22 @@
 SPARE = 0.5
 
 
-def _side_by_side(want: Want, now: float) -> int:
+def _side_by_side(request: TaskRequest, now: float) -> int:
     """How many of the waiting tasks must run at a time for the job to make its soft deadline."""
-    if want.service or want.spec.kind == "gang":
-        return want.waiting
-    left = want.value.soft - now
-    turns = max(1, math.floor(left / max(WRONG_BY * want.estimate, 0.1)))
-    return math.ceil(want.waiting / turns)
+    if request.service or request.spec.kind == "gang":
+        return request.waiting
+    left = request.value.soft - now
+    turns = max(1, math.floor(left / max(WRONG_BY * request.estimate, 0.1)))
+    return math.ceil(request.waiting / turns)
 
 
 def _zone_for(
-    want: Want, capacities: list[Capacity], offers: list[Offer], by: float, fitting: set[str], machines: dict[str, int]
+    request: TaskRequest,
+    capacities: list[Capacity],
+    offers: list[Offer],
+    by: float,
+    fitting: set[str],
+    machines: dict[str, int],
 ) -> str:
     """The zone in which a gang's places are to be had: where most of it fits by then and the rest can be rented.
 
@@ -32,67 +37,75 @@
     against a gang that waits for ever beside room in several zones, and one whose first place was counted in a zone
     where the cloud has no more.
     """
-    need = need_of(want.spec)
+    need = need_of(request.spec)
     room = {
         zone: 0
         for zone in {*(capacity.zone for capacity in capacities), *(offer.zone for offer in offers)}
-        if want.spec.zone in (None, zone)
+        if request.spec.zone in (None, zone)
     }
     for capacity in capacities:
         if (
             capacity.zone in room
             and capacity.type.name in fitting
-            and (want.spec.spot or not capacity.spot)
+            and (request.spec.spot or not capacity.spot)
             and capacity.most_cpus + EPSILON >= need[0]
         ):
             room[capacity.zone] += times_fit(capacity.room_by(by), need)
     price = {zone: min((offer.price for offer in offers if offer.zone == zone), default=math.inf) for zone in room}
 
     def rank(zone: str) -> tuple:
-        missing = max(0, want.waiting - room[zone])
+        missing = max(0, request.waiting - room[zone])
         return (missing > 0 and price[zone] == math.inf, missing, price[zone], machines.get(zone, 0), zone)
 
-    held = [zone for zone, count in want.zones.items() if count]
+    held = [zone for zone, count in request.zones.items() if count]
     return held[0] if held else min(room, key=rank, default="")
 
 
 def to_rent(
-    wants: list[Want], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
+    requests: list[TaskRequest], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
 ) -> list[Rental]:
     """Machines for the waiting work that those at hand can't serve in time, by cost for each task.
 
     `offers` leaves out what the cloud lately had none of; `rank` spreads rentals over the zones (fewest first).
     """
     counts: dict[Offer, int] = {}
-    order = sorted(wants, key=lambda want: (not want.service, -want.value.start, want.value.soft, want.job))
-    for want in order:
-        need = need_of(want.spec)
+    order = sorted(
+        requests, key=lambda request: (not request.service, -request.value.start, request.value.soft, request.job)
+    )
+    for request in order:
+        need = need_of(request.spec)
         allowed = [
             offer
             for offer in offers
-            if offer.type.fits(want.spec)
-            and (want.spec.spot or not offer.spot)
+            if offer.type.fits(request.spec)
+            and (request.spec.spot or not offer.spot)
             and offer.zone in offer.type.zones
-            and want.spec.zone in (None, offer.zone)
-            and want.zone_room(offer.zone) > 0
-            and not (want.keeps_off_gpus and offer.type.gpus > 0)
+            and request.spec.zone in (None, offer.zone)
+            and request.zone_room(offer.zone) > 0
+            and not (request.keeps_off_gpus and offer.type.gpus > 0)
         ]
         boot_s = min((offer.type.boot_s for offer in allowed), default=0.0)
-        ready_in = max(0.0, want.not_before - now)
+        ready_in = max(0.0, request.not_before - now)
         if ready_in > boot_s:
             continue  # it waits for others, and a machine would be up before they are done
-        missing = min(_side_by_side(want, now), want.headroom, want.waiting)
+        missing = min(_side_by_side(request, now), request.headroom, request.waiting)
         slack = 0.0
-        if not want.service:
-            slack = max(0.0, min(SPARE * (want.value.soft - now - WRONG_BY * want.estimate), want.start_by - now))
+        if not request.service:
+            slack = max(
+                0.0, min(SPARE * (request.value.soft - now - WRONG_BY * request.estimate), request.start_by - now)
+            )
         fitting = {
             kind.name
             for kind in {capacity.type for capacity in capacities}
-            if kind.fits(want.spec) and not (want.keeps_off_gpus and kind.gpus > 0)
+            if kind.fits(request.spec) and not (request.keeps_off_gpus and kind.gpus > 0)
         }
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
-        by = max(slack, ready_in, boot_s if not want.service else 0.0)
-        only = _zone_for(want, capacities, allowed, by, fitting, rank) if want.gang and not want.spec.spread else None
+        by = max(slack, ready_in, boot_s if not request.service else 0.0)
+        only = (
+            _zone_for(request, capacities, allowed, by, fitting, rank)
+            if request.gang and not request.spec.spread
+            else None
+        )
         for capacity in capacities:
             if missing <= 0:
                 break
@@ -101,13 +114,13 @@
             # most machines are promised to others already, and passed over by this comparison alone
             if capacity.most_cpus + EPSILON < need[0] or capacity.type.name not in fitting:
                 continue
-            if (capacity.spot and not want.spec.spot) or want.spec.zone not in (None, capacity.zone):
+            if (capacity.spot and not request.spec.spot) or request.spec.zone not in (None, capacity.zone):
                 continue
             room = capacity.room_by(by)
-            tasks = min(missing, times_fit(room, need), want.zone_room(capacity.zone))
+            tasks = min(missing, times_fit(room, need), request.zone_room(capacity.zone))
             if tasks > 0:
                 capacity.take(need, tasks)
-                want.zones[capacity.zone] = want.zones.get(capacity.zone, 0) + tasks
+                request.zones[capacity.zone] = request.zones.get(capacity.zone, 0) + tasks
                 missing -= tasks
         while missing > 0:
             best = None
@@ -115,7 +128,7 @@
                 if only not in (None, offer.zone):
                     continue
                 whole = (offer.type.cpus, offer.type.gpus, offer.type.memory_gb)
-                tasks = min(missing, times_fit(whole, need), want.zone_room(offer.zone))
+                tasks = min(missing, times_fit(whole, need), request.zone_room(offer.zone))
                 if tasks < 1:
                     continue
                 key = (
@@ -134,6 +147,6 @@
             capacity = Capacity(offer.type, offer.zone, offer.spot, whole, offer.type.boot_s)
             capacity.take(need, tasks)
             capacities.append(capacity)
-            want.zones[offer.zone] = want.zones.get(offer.zone, 0) + tasks
+            request.zones[offer.zone] = request.zones.get(offer.zone, 0) + tasks
             missing -= tasks
     return [Rental(offer, machines) for offer, machines in counts.items()]
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class Allocation:
     """Tasks of a job that hold a place on a machine: from before their start is sent until proof of their end."""
 
     machine: str
@@ -21,18 +21,18 @@
     zone: str
 
 
-def pack_claims(claims: Iterable[Claim]) -> list[list[Any]]:
+def pack_claims(allocations: Iterable[Allocation]) -> list[list[Any]]:
     """Claims of one event are alike but for machine and tasks: a job on hundreds of machines must fit one value."""
     groups: dict[tuple[int, int, float, str], list[str]] = {}
-    for claim in claims:
-        rows = groups.setdefault((claim.session, claim.attempt, round(claim.at, 1), claim.zone), [])
-        rows += (claim.machine, to_text(claim.tasks))
+    for allocation in allocations:
+        rows = groups.setdefault((allocation.session, allocation.attempt, round(allocation.at, 1), allocation.zone), [])
+        rows += (allocation.machine, to_text(allocation.tasks))
     return [[*common, rows] for common, rows in groups.items()]
 
 
-def unpack_claims(groups: list[list[Any]]) -> tuple[Claim, ...]:
+def unpack_claims(groups: list[list[Any]]) -> tuple[Allocation, ...]:
     return tuple(
-        Claim(machine, session, attempt, from_text(tasks), at, zone)
+        Allocation(machine, session, attempt, from_text(tasks), at, zone)
         for session, attempt, at, zone, rows in groups
         for machine, tasks in zip(rows[::2], rows[1::2], strict=True)
     )
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tidebend.cluster_state.allocations import Claim
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
-from tidebend.cluster_state.record_chunks import PART, Part
+from tidebend.cluster_state.record_chunks import CHUNK, Chunk
 from tidebend.kvclient import FINAL
-from tidebend.quota import Accounts, Amounts, Usage
+from tidebend.quota import Amounts, TeamUsage, UsageIndex
 
 CANCELLED = "cancelled"
 Final = tuple[str, float]  # `done` or `cancelled`, and the time of day, 0 in records of the version before pipelines
@@ -34,15 +34,15 @@
     value: Any
     version: int
     first: int = -1
-    unpacked: Part | None = None
+    unpacked: Chunk | None = None
 
-    def part(self, first: int) -> Part:
+    def chunk(self, first: int) -> Chunk:
         if self.unpacked is None or self.first != first:
-            self.first, self.unpacked = first, Part.unpack(self.value, self.version, first)
+            self.first, self.unpacked = first, Chunk.unpack(self.value, self.version, first)
         return self.unpacked
 
 
-class JobBook:
+class JobCache:
     """Live jobs, teams' usage and recent finals; changed only by what the mirror passes on, under its lock.
 
     What jobs wait for is derived from final records, which never change: so it only ever grows, and is the same on
@@ -54,10 +54,10 @@
         self.jobs: dict[str, Job] = {}
         self._heads: dict[str, Job] = {}  # as recorded, before anything is derived
         self._parts: dict[str, dict[int, _PartRecord]] = {}
-        self._accounts = Accounts()
+        self._accounts = UsageIndex()
         self._finals: OrderedDict[str, Final] = OrderedDict()
         self._keep_finals = keep_finals
-        self._by_machine: dict[str, dict[str, list[tuple[Job, Claim]]]] = {}
+        self._by_machine: dict[str, dict[str, list[tuple[Job, Allocation]]]] = {}
         self._waiters: dict[str, set[str]] = {}  # job -> live jobs that name it
         self._needed: dict[str, Final] = {}  # finals of jobs that live ones name: kept however old
 
@@ -65,15 +65,15 @@
         if key.startswith(JOB) or key.startswith(HEAD):
             name = key[len(JOB) :] if key.startswith(JOB) else key[len(HEAD) :]
             self._head_changed(name, key, value, version)
-        elif key.startswith(PART):
-            name, _, number = key[len(PART) :].rpartition("/")
-            parts = self._parts.setdefault(name, {})
+        elif key.startswith(CHUNK):
+            name, _, number = key[len(CHUNK) :].rpartition("/")
+            chunks = self._parts.setdefault(name, {})
             if value is None:
-                parts.pop(int(number), None)
-                if not parts:
+                chunks.pop(int(number), None)
+                if not chunks:
                     del self._parts[name]
             else:
-                parts[int(number)] = _PartRecord(value, version)
+                chunks[int(number)] = _PartRecord(value, version)
             if name in self._heads:
                 self._derive(name)
         elif key.startswith(FINAL):
@@ -91,14 +91,14 @@
         else:
             self._heads[name] = Job.unpack(name, value, version)
         new = self._heads.get(name)
-        if (old.awaits if old else ()) != (new.awaits if new else ()):
-            for other in old.awaits if old else ():
+        if (old.dependencies if old else ()) != (new.dependencies if new else ()):
+            for other in old.dependencies if old else ():
                 waiters = self._waiters[other]
                 waiters.discard(name)
                 if not waiters:
                     del self._waiters[other]
                     self._needed.pop(other, None)
-            for other in new.awaits if new else ():
+            for other in new.dependencies if new else ():
                 self._waiters.setdefault(other, set()).add(name)
                 if other in self._finals:
                     self._needed[other] = self._finals[other]
@@ -122,17 +122,17 @@
             self._index(self.jobs.pop(name, None), -1)
             head = self._heads.get(name)
             if head is not None:
-                if head.parts:
-                    size = head.parts.size
+                if head.chunks:
+                    size = head.chunks.size
                     head = head.assembled(
-                        {number: record.part(number * size) for number, record in self._parts.get(name, {}).items()}
+                        {number: record.chunk(number * size) for number, record in self._parts.get(name, {}).items()}
                     )
-                if head.awaits:
-                    outcomes = [self._outcome(other) for other in head.awaits]
+                if head.dependencies:
+                    outcomes = [self._outcome(other) for other in head.dependencies]
                     if any(outcome is not None and outcome[0] == CANCELLED for outcome in outcomes):
                         head = replace(head, cancelled=True)
                     elif None not in outcomes:
-                        head = replace(head, held=False, ready=max(head.submitted, *(at for _, at in outcomes)))
+                        head = replace(head, blocked=False, ready=max(head.submitted, *(at for _, at in outcomes)))
                 self.jobs[name] = head
                 self._index(head, 1)
             if self._outcome(name) != before:
@@ -142,16 +142,16 @@
         if job is None:
             return
         self._accounts.count_ended(job.spec, sign * job.ended)
-        for claim in job.claims:
-            self._accounts.count_claim(job.spec, claim.zone, sign * claim.tasks.bit_count())
+        for allocation in job.allocations:
+            self._accounts.count_claim(job.spec, allocation.zone, sign * allocation.tasks.bit_count())
             if sign > 0:
-                self._by_machine.setdefault(claim.machine, {}).setdefault(job.id, []).append((job, claim))
+                self._by_machine.setdefault(allocation.machine, {}).setdefault(job.id, []).append((job, allocation))
                 continue
-            held = self._by_machine.get(claim.machine)
+            held = self._by_machine.get(allocation.machine)
             if held is not None:
                 held.pop(job.id, None)
                 if not held:
-                    del self._by_machine[claim.machine]
+                    del self._by_machine[allocation.machine]
 
     def remember_final(self, name: str, value: Any) -> None:
         final = unpack_final(value)
@@ -179,12 +179,12 @@
         with self.lock:
             return list(self.jobs.values())
 
-    def part_versions(self, name: str) -> dict[int, int]:
+    def chunk_versions(self, name: str) -> dict[int, int]:
         """The records of a job's parts, those included that its head doesn't speak of yet."""
         with self.lock:
             return {number: record.version for number, record in self._parts.get(name, {}).items()}
 
-    def part_sources(self, name: str) -> dict[int, int]:
+    def chunk_sources(self, name: str) -> dict[int, int]:
         """The versions of the record from which a job's parts were split."""
         with self.lock:
             return {number: record.value.get("source", 0) for number, record in self._parts.get(name, {}).items()}
@@ -204,7 +204,7 @@
             found, seen, left = [], {name}, [name]
             while left:
                 head = self._heads.get(left.pop())
-                for other in head.awaits if head else ():
+                for other in head.dependencies if head else ():
                     if other in seen or other in self._needed:
                         continue
                     seen.add(other)
@@ -216,16 +216,16 @@
         with self.lock:
             return self._accounts.used(team, zones)
 
-    def has_shares(self, team: str) -> bool:
+    def has_zone_quotas(self, team: str) -> bool:
         with self.lock:
-            return self._accounts.has_shares(team)
+            return self._accounts.has_zone_quotas(team)
 
-    def team(self, name: str, zones: Iterable[str] = ()) -> Usage:
+    def team(self, name: str, zones: Iterable[str] = ()) -> TeamUsage:
         """A team's usage as who holds these zones may act on it."""
         with self.lock:
             return self._accounts.team(name, zones)
 
-    def on_machine(self, machine: str) -> list[tuple[Job, Claim]]:
+    def on_machine(self, machine: str) -> list[tuple[Job, Allocation]]:
         with self.lock:
             return [pair for pairs in self._by_machine.get(machine, {}).values() for pair in pairs]
 
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tidebend.cluster_state.allocations import Claim, pack_claims, unpack_claims
-from tidebend.cluster_state.record_chunks import Part, Parts, clipped
+from tidebend.cluster_state.allocations import Allocation, pack_claims, unpack_claims
+from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, clipped
 from tidebend.cluster_state.task_bitmap import from_text, interval, members, to_text
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
@@ -30,17 +30,17 @@
     started: int = 0  # starts so far; gives each claim its attempt
     ended: int = 0  # claimed tasks whose claims have ended; only grows
     done: int = 0  # bitmap
-    claims: tuple[Claim, ...] = ()
-    awaits: tuple[str, ...] = ()  # jobs to be done before any task starts; none once the first claim is recorded
+    allocations: tuple[Allocation, ...] = ()
+    dependencies: tuple[str, ...] = ()  # jobs to be done before any task starts; none once the first claim is recorded
     ready: float | None = None  # time of day at which the last of them was done
-    held: bool = False  # one of them isn't known to be done: derived from their final records, never recorded
-    parts: Parts | None = None  # of a job that is too large for one record
+    blocked: bool = False  # one of them isn't known to be done: derived from their final records, never recorded
+    chunks: ChunkIndex | None = None  # of a job that is too large for one record
 
     @property
     def claimed(self) -> int:
         mask = 0
-        for claim in self.claims:
-            mask |= claim.tasks
+        for allocation in self.allocations:
+            mask |= allocation.tasks
         return mask
 
     @property
@@ -49,7 +49,7 @@
 
     @property
     def pending(self) -> int:
-        return 0 if self.cancelled or self.held else self.all_tasks & ~self.done & ~self.claimed
+        return 0 if self.cancelled or self.blocked else self.all_tasks & ~self.done & ~self.claimed
 
     @property
     def since(self) -> float:
@@ -62,7 +62,7 @@
 
     @property
     def running(self) -> int:
-        return sum(claim.tasks.bit_count() for claim in self.claims)
+        return sum(allocation.tasks.bit_count() for allocation in self.allocations)
 
     @property
     def charged(self) -> int:
@@ -71,49 +71,49 @@
 
     def per_zone(self) -> dict[str, int]:
         zones: dict[str, int] = {}
-        for claim in self.claims:
-            zones[claim.zone] = zones.get(claim.zone, 0) + claim.tasks.bit_count()
+        for allocation in self.allocations:
+            zones[allocation.zone] = zones.get(allocation.zone, 0) + allocation.tasks.bit_count()
         return zones
 
-    def with_claims(self, added: Iterable[Claim]) -> Job:
-        return replace(self, claims=self.claims + tuple(added), started=self.started + 1, awaits=())
+    def with_claims(self, added: Iterable[Allocation]) -> Job:
+        return replace(self, allocations=self.allocations + tuple(added), started=self.started + 1, dependencies=())
 
     def places(self, machines: Iterable[str]) -> dict[tuple[str, int, int], int]:
         """Its tasks on some machines, by (machine, session, attempt); a claim over several parts is in each of them."""
         found: dict[tuple[str, int, int], int] = {}
-        for claim in self.claims:
-            if claim.machine in machines:
-                key = (claim.machine, claim.session, claim.attempt)
-                found[key] = found.get(key, 0) | claim.tasks
+        for allocation in self.allocations:
+            if allocation.machine in machines:
+                key = (allocation.machine, allocation.session, allocation.attempt)
+                found[key] = found.get(key, 0) | allocation.tasks
         return found
 
     def without(self, ended: dict[tuple[str, int, int], int], done: int) -> Job:
         """Some claims' tasks ended; `ended` maps (machine, session, attempt) to a bitmap."""
-        claims = []
-        for claim in self.claims:
-            gone = ended.get((claim.machine, claim.session, claim.attempt), 0)
-            if not claim.tasks & gone:
-                claims.append(claim)
-            elif claim.tasks & ~gone:
-                claims.append(replace(claim, tasks=claim.tasks & ~gone))
-        new = replace(self, claims=tuple(claims), done=self.done | done)
+        allocations = []
+        for allocation in self.allocations:
+            gone = ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
+            if not allocation.tasks & gone:
+                allocations.append(allocation)
+            elif allocation.tasks & ~gone:
+                allocations.append(replace(allocation, tasks=allocation.tasks & ~gone))
+        new = replace(self, allocations=tuple(allocations), done=self.done | done)
         return replace(new, ended=self.ended + self.running - new.running)
 
     @property
     def key(self) -> str:
-        return (HEAD if self.awaits or self.ready is not None or self.parts else JOB) + self.id
+        return (HEAD if self.dependencies or self.ready is not None or self.chunks else JOB) + self.id
 
     def pack(self) -> dict[str, Any]:
         """The record under `key`: under JOB just what the version before pipelines writes."""
         value: dict[str, Any] = {"spec": self.spec.pack(), "at": round(self.submitted, 3)}
         if self.cancelled:
             value["cancelled"] = 1
-        if self.awaits:
-            value["awaits"] = list(self.awaits)  # that they are done is for their final records to say
+        if self.dependencies:
+            value["awaits"] = list(self.dependencies)  # that they are done is for their final records to say
         elif self.ready is not None:
             value["ready"] = round(self.ready, 3)
-        if self.parts:
-            value["parts"] = self.parts.pack()
+        if self.chunks:
+            value["parts"] = self.chunks.pack()
             return value
         if self.started:
             value["started"] = self.started
@@ -121,8 +121,8 @@
             value["ended"] = self.ended
         if self.done:
             value["done"] = to_text(self.done)
-        if self.claims:
-            value["claims"] = pack_claims(self.claims)
+        if self.allocations:
+            value["claims"] = pack_claims(self.allocations)
         return value
 
     @staticmethod
@@ -140,74 +140,76 @@
             tuple(value.get("awaits", ())),
             value.get("ready"),
             bool(value.get("awaits")),
-            Parts.unpack(value["parts"]) if "parts" in value else None,
+            ChunkIndex.unpack(value["parts"]) if "parts" in value else None,
         )
 
     # In parts
 
-    def assembled(self, known: dict[int, Part]) -> Job:
+    def assembled(self, known: dict[int, Chunk]) -> Job:
         """The job of a head with its parts' records."""
-        parts = self.parts
-        assert parts is not None
-        rows = tuple((number, known[number]) for number in sorted(known) if parts.opened >> number & 1)
+        chunks = self.chunks
+        assert chunks is not None
+        rows = tuple((number, known[number]) for number in sorted(known) if chunks.opened >> number & 1)
         done = 0
         if not self.cancelled:  # what of a cancelled job is closed need not have been done
-            for number in members(parts.closed):
-                done |= parts.mask(number)
-        claims: tuple[Claim, ...] = ()
-        for _, part in rows:
-            done |= part.done
-            claims += part.claims
+            for number in members(chunks.closed):
+                done |= chunks.mask(number)
+        allocations: tuple[Allocation, ...] = ()
+        for _, chunk in rows:
+            done |= chunk.done
+            allocations += chunk.allocations
         return replace(
             self,
-            parts=replace(parts, rows=rows),
+            chunks=replace(chunks, rows=rows),
             done=done & self.all_tasks,
-            claims=claims,
-            started=max([parts.started, *(part.started for _, part in rows)]),
-            ended=parts.ended + sum(part.ended for _, part in rows),
+            allocations=allocations,
+            started=max([chunks.started, *(chunk.started for _, chunk in rows)]),
+            ended=chunks.ended + sum(chunk.ended for _, chunk in rows),
         )
 
     def touched(self, before: Job) -> list[int]:
         """The parts in which claims or done tasks differ."""
-        assert self.parts is not None
+        assert self.chunks is not None
         tasks = self.done ^ before.done
-        for claim in set(self.claims) ^ set(before.claims):
-            tasks |= claim.tasks
-        return self.parts.numbers(tasks)
+        for allocation in set(self.allocations) ^ set(before.allocations):
+            tasks |= allocation.tasks
+        return self.chunks.numbers(tasks)
 
-    def part_of(self, number: int, before: Job) -> Part:
+    def chunk_of(self, number: int, before: Job) -> Chunk:
         """A part's record as it follows from the whole job; `before` is the job that this one was made from."""
-        assert self.parts is not None
-        mask = self.parts.mask(number)
-        old = dict(before.parts.rows).get(number, Part()) if before.parts else Part()
-        claims = clipped(self.claims, mask)
-        left = {(claim.machine, claim.session, claim.attempt): claim.tasks for claim in claims}
+        assert self.chunks is not None
+        mask = self.chunks.mask(number)
+        old = dict(before.chunks.rows).get(number, Chunk()) if before.chunks else Chunk()
+        allocations = clipped(self.allocations, mask)
+        left = {
+            (allocation.machine, allocation.session, allocation.attempt): allocation.tasks for allocation in allocations
+        }
         gone = sum(
-            (claim.tasks & ~left.get((claim.machine, claim.session, claim.attempt), 0)).bit_count()
-            for claim in old.claims
+            (allocation.tasks & ~left.get((allocation.machine, allocation.session, allocation.attempt), 0)).bit_count()
+            for allocation in old.allocations
         )
-        started = max([old.started, *(claim.attempt for claim in claims)])
-        return Part(old.version, started, old.ended + gone, self.done & mask, claims)
+        started = max([old.started, *(allocation.attempt for allocation in allocations)])
+        return Chunk(old.version, started, old.ended + gone, self.done & mask, allocations)
 
-    def is_over(self, number: int, part: Part) -> bool:
+    def is_over(self, number: int, chunk: Chunk) -> bool:
         """Whether a part needs no record any more."""
-        assert self.parts is not None
-        return not part.claims and (self.cancelled or part.done == self.parts.mask(number) & self.all_tasks)
+        assert self.chunks is not None
+        return not chunk.allocations and (self.cancelled or chunk.done == self.chunks.mask(number) & self.all_tasks)
 
-    def without_parts(self, numbers: list[int]) -> Job:
+    def without_chunks(self, numbers: list[int]) -> Job:
         """Those parts are closed: all their tasks are done, or the job is cancelled and none holds a place."""
-        parts = self.parts
-        assert parts is not None
+        chunks = self.chunks
+        assert chunks is not None
         bits = sum(1 << number for number in numbers)
-        gone = [part for number, part in parts.rows if number in numbers]
+        gone = [chunk for number, chunk in chunks.rows if number in numbers]
         return replace(
             self,
-            parts=replace(
-                parts,
-                opened=parts.opened & ~bits,
-                closed=parts.closed | bits,
-                ended=parts.ended + sum(part.ended for part in gone),
-                started=max([parts.started, *(part.started for part in gone)]),
-                rows=tuple(row for row in parts.rows if row[0] not in numbers),
+            chunks=replace(
+                chunks,
+                opened=chunks.opened & ~bits,
+                closed=chunks.closed | bits,
+                ended=chunks.ended + sum(chunk.ended for chunk in gone),
+                started=max([chunks.started, *(chunk.started for chunk in gone)]),
+                rows=tuple(row for row in chunks.rows if row[0] not in numbers),
             ),
         )
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -10,44 +10,44 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tidebend.cluster_state.allocations import Claim, pack_claims, unpack_claims
+from tidebend.cluster_state.allocations import Allocation, pack_claims, unpack_claims
 from tidebend.cluster_state.task_bitmap import from_text, interval, to_text
 from tidebend.kvclient import LIVE
 
-PART = LIVE + "part/"
+CHUNK = LIVE + "part/"
 # bytes of a value for each task of a part: a claim of one task on a machine of its own takes about so many
 BYTES_A_TASK = 24
 
 
-def part_size(value_bytes: int) -> int:
+def chunk_size(value_bytes: int) -> int:
     """Tasks in a part: with each on a machine of its own, the claims made at one event fit."""
     return max(1, value_bytes // BYTES_A_TASK)
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class Chunk:
     """A part's record; task numbers count from 0 in the whole job here, and from the part's first in the record."""
 
     version: int = 0
     started: int = 0  # the highest attempt so far
     ended: int = 0  # claimed tasks whose claims have ended
     done: int = 0
-    claims: tuple[Claim, ...] = ()
+    allocations: tuple[Allocation, ...] = ()
     source: int = 0  # the version of the record that it was split from, until it has been changed
 
     def pack(self, first: int) -> dict[str, Any]:
         value: dict[str, Any] = {"started": self.started, "ended": self.ended}
         if self.done:
             value["done"] = to_text(self.done >> first)
-        if self.claims:
-            value["claims"] = pack_claims(moved(self.claims, -first))
+        if self.allocations:
+            value["claims"] = pack_claims(moved(self.allocations, -first))
         if self.source:
             value["source"] = self.source
         return value
 
     @staticmethod
-    def unpack(value: dict[str, Any], version: int, first: int) -> Part:
-        return Part(
+    def unpack(value: dict[str, Any], version: int, first: int) -> Chunk:
+        return Chunk(
             version,
             value["started"],
             value["ended"],
@@ -57,18 +57,22 @@
         )
 
 
-def moved(claims: Iterable[Claim], by: int) -> Iterable[Claim]:
-    for claim in claims:
-        tasks = claim.tasks << by if by > 0 else claim.tasks >> -by
-        yield Claim(claim.machine, claim.session, claim.attempt, tasks, claim.at, claim.zone)
+def moved(allocations: Iterable[Allocation], by: int) -> Iterable[Allocation]:
+    for allocation in allocations:
+        tasks = allocation.tasks << by if by > 0 else allocation.tasks >> -by
+        yield Allocation(
+            allocation.machine, allocation.session, allocation.attempt, tasks, allocation.at, allocation.zone
+        )
 
 
-def clipped(claims: Iterable[Claim], mask: int) -> tuple[Claim, ...]:
-    return tuple(Claim(c.machine, c.session, c.attempt, c.tasks & mask, c.at, c.zone) for c in claims if c.tasks & mask)
+def clipped(allocations: Iterable[Allocation], mask: int) -> tuple[Allocation, ...]:
+    return tuple(
+        Allocation(c.machine, c.session, c.attempt, c.tasks & mask, c.at, c.zone) for c in allocations if c.tasks & mask
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class ChunkIndex:
     """What the head says of its parts, and the records of those that are open."""
 
     size: int
@@ -76,7 +80,7 @@
     closed: int = 0  # bitmap of parts whose record is no longer needed
     ended: int = 0  # claimed tasks of closed parts, all of whose claims have ended
     started: int = 0  # the highest attempt in parts that have no record
-    rows: tuple[tuple[int, Part], ...] = ()
+    rows: tuple[tuple[int, Chunk], ...] = ()
 
     def mask(self, number: int) -> int:
         return interval(number * self.size, (number + 1) * self.size - 1)
@@ -94,8 +98,8 @@
         return [self.size, f"{self.opened:x}", f"{self.closed:x}", self.ended, self.started]
 
     @staticmethod
-    def unpack(row: list[Any]) -> Parts:
-        return Parts(row[0], int(row[1], 16), int(row[2], 16), *row[3:])
+    def unpack(row: list[Any]) -> ChunkIndex:
+        return ChunkIndex(row[0], int(row[1], 16), int(row[2], 16), *row[3:])
 
     @property
     def unknown(self) -> int:
--- a/tidebend/cluster_state/task_bitmap.py
+++ b/tidebend/cluster_state/task_bitmap.py
@@ -10,23 +10,23 @@
 
 
 def to_text(mask: int) -> str:
-    parts = []
+    chunks = []
     base = 0
     while mask:
         skip = (mask & -mask).bit_length() - 1
         mask >>= skip
         base += skip
         run = (~mask & (mask + 1)).bit_length() - 1
-        parts.append(f"{base}-{base + run - 1}" if run > 1 else str(base))
+        chunks.append(f"{base}-{base + run - 1}" if run > 1 else str(base))
         mask >>= run
         base += run
-    return ",".join(parts)
+    return ",".join(chunks)
 
 
 def from_text(text: str) -> int:
     mask = 0
-    for part in text.split(",") if text else ():
-        first, _, last = part.partition("-")
+    for chunk in text.split(",") if text else ():
+        first, _, last = chunk.partition("-")
         mask |= interval(int(first), int(last or first))
     return mask
 
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -121,7 +121,7 @@
         found = []
         for row in rows:
             job = row.key[len(DESCRIPTION) :]
-            reply = self._controller.users.poll(job)
+            reply = self._controller.job_api.poll(job)
             if reply.status == 503:
                 return reply
             if reply.status == 200:  # a description may be there before its job, or without one
@@ -130,15 +130,18 @@
         return Reply(200, {"jobs": found, "more": more, "last": last})
 
     def _job(self, job: str) -> Reply:
-        reply = self._controller.users.poll(job)
+        reply = self._controller.job_api.poll(job)
         if reply.status != 200:
             return reply
         item, _ = self._engine.get(DESCRIPTION + job)
         row = self._row(job, reply.body, item.value if item else {})
-        live = self._controller.book.get(job)
+        live = self._controller.job_cache.get(job)
         if live is not None:
-            row["waits_for"] = list(live.awaits)
-            row["places"] = [{"machine": claim.machine, "tasks": claim.tasks.bit_count()} for claim in live.claims]
+            row["waits_for"] = list(live.dependencies)
+            row["places"] = [
+                {"machine": allocation.machine, "tasks": allocation.tasks.bit_count()}
+                for allocation in live.allocations
+            ]
             row["team"], row["priority"] = live.spec.team, live.spec.priority
         return Reply(200, row)
 
@@ -192,17 +195,17 @@
     # Agents
 
     def address_of(self, machine: str) -> tuple[str, int] | None:
-        with self._controller.fleet.lock:
-            known = self._controller.fleet.machines.get(machine)
+        with self._controller.machine_registry.lock:
+            known = self._controller.machine_registry.machines.get(machine)
             return known.address if known else None
 
     def _agents(self) -> list[dict[str, Any]]:
         now = time.monotonic()
         rows = []
         for name, machine in sorted(self._provider.machines().items()):
-            with self._controller.fleet.lock:
-                known = self._controller.fleet.machines.get(name)
-                heard = round(now - known.heard, 1) if known else None
+            with self._controller.machine_registry.lock:
+                known = self._controller.machine_registry.machines.get(name)
+                heard = round(now - known.last_heartbeat, 1) if known else None
                 tasks = [task for task in known.tasks.values() if task.state != "ended"] if known else []
                 session, address = (known.session, known.address) if known else (0, None)
             rows.append(
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -37,7 +37,7 @@
         jobs = GaugeMetricFamily("tidebend_jobs", "Jobs that aren't over, by kind and state.", labels=["kind", "state"])
         counted: Counter[tuple[str, str]] = Counter()
         waiting = 0
-        for job in self._controller.book.live():
+        for job in self._controller.job_cache.live():
             counted[job.spec.kind, "running" if job.running else "queued"] += 1
             waiting += job.pending.bit_count()
         for (kind, state), number in sorted(counted.items()):
@@ -50,12 +50,12 @@
         silent = GaugeMetricFamily(
             "tidebend_machine_silent_seconds", "Since a machine last reported.", labels=["machine", "type"]
         )
-        heard = {machine.name: machine for machine in self._controller.fleet.all()}
+        heard = {machine.name: machine for machine in self._controller.machine_registry.all()}
         machines = self._provider.machines()
         for name, machine in sorted(machines.items()):
             known = heard.get(name)
             if known is not None:
-                silent.add_metric([name, machine.kind], now - known.heard)
+                silent.add_metric([name, machine.kind], now - known.last_heartbeat)
                 tasks.update(task.state for task in list(known.tasks.values()))
         yield silent
         yield GaugeMetricFamily("tidebend_machines", "Machines that aren't gone.", len(machines))
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -9,12 +9,20 @@
 from dataclasses import replace
 
 from tidebend import protocol
-from tidebend.cluster_state.job_cache import JobBook, unpack_final
+from tidebend.cluster_state.job_cache import JobCache, unpack_final
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
-from tidebend.controller.records.job_writer import Ledger
+from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import packed_bytes
-from tidebend.coordination.schema_version import FORMAT, Formats
-from tidebend.kvclient import FINAL, Conflict, Mirror, NoSuchLease, StateClient, Unavailable, Unknown
+from tidebend.coordination.schema_version import FORMAT, SchemaVersion
+from tidebend.kvclient import (
+    FINAL,
+    ConflictError,
+    KeyValueClient,
+    LeaseNotFoundError,
+    NotExecutedError,
+    OutcomeUnknownError,
+    WatchCache,
+)
 from tidebend.protocol import Invalid, JobSpec, MachineType
 from tidebend.settings import Settings
 from tidebend.transport import BadRequest, Reply
@@ -33,7 +41,7 @@
 _said: dict[str, float] = {}  # cause -> steady time at which the log last told it
 
 
-def unsure(text: str) -> Reply:
+def unavailable_reply(text: str) -> Reply:
     """503 with its cause, which the log tells once in a while."""
     now = time.monotonic()
     if now - _said.get(text, -1e9) > SAID_AGAIN_S:
@@ -49,24 +57,24 @@
         raise BadRequest("not JSON") from error
 
 
-class Users:
+class JobApi:
     def __init__(
         self,
         settings: Settings,
-        state: StateClient,
-        mirror: Mirror,
-        book: JobBook,
-        ledger: Ledger,
-        formats: Formats,
+        state: KeyValueClient,
+        cache: WatchCache,
+        job_cache: JobCache,
+        job_writer: JobWriter,
+        schema_version: SchemaVersion,
         types: Callable[[], dict[str, MachineType]],
         wake: Callable[[], None],
     ) -> None:
         self.settings = settings
         self.state = state
-        self.mirror = mirror
-        self.book = book
-        self.ledger = ledger
-        self.formats = formats
+        self.cache = cache
+        self.job_cache = job_cache
+        self.job_writer = job_writer
+        self.schema_version = schema_version
         self.types = types
         self.wake = wake
         # users wait 2 s for an answer to a poll
@@ -74,13 +82,13 @@
 
     def _known(self, name: str) -> Reply | None:
         """What the cache says of a job; the one place where that becomes an answer. None: it knows nothing of it."""
-        final = self.book.final(name)
+        final = self.job_cache.final(name)
         if final is not None:
             return Reply(200, protocol.job_answer(name, final))
-        job = self.book.get(name)
+        job = self.job_cache.get(name)
         if job is None:
             # guards against a job that ended between the two looks
-            final = self.book.final(name)
+            final = self.job_cache.final(name)
             return None if final is None else Reply(200, protocol.job_answer(name, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
@@ -91,16 +99,16 @@
 
     def find(self, name: str) -> Reply | None:
         """The job's state by a read begun after this call (finals by the cache); None: never submitted."""
-        if self.book.final(name) is None:
-            if not self.mirror.loaded.is_set() or not self.mirror.barrier(self.read_s):
-                raise Unavailable("no state read")
-            self.look_up(self.book.unresolved(name), "poll")
+        if self.job_cache.final(name) is None:
+            if not self.cache.loaded.is_set() or not self.cache.barrier(self.read_s):
+                raise NotExecutedError("no state read")
+            self.look_up_finals(self.job_cache.unresolved(name), "poll")
         known = self._known(name)
         if known is None:
             value, _ = self.state.get(FINAL + name)
             if value is None:
                 return None
-            self.book.remember_final(name, value)
+            self.job_cache.remember_final(name, value)
             known = Reply(200, protocol.job_answer(name, unpack_final(value)[0]))
         return known
 
@@ -108,7 +116,7 @@
         """What was once accepted is never refused, whatever a repeat's body says and whatever is known by now."""
         return self.find(name) or Reply(status, {"error": text})
 
-    def look_up(self, names: list[str], kind: str) -> None:
+    def look_up_finals(self, names: list[str], kind: str) -> None:
         """Learn how jobs ended that others wait for.
 
         Guards against an older answer after a restart: a job is cancelled with what it waits for, and that may be
@@ -117,9 +125,9 @@
         for name in names[:MOST_LOOKUPS]:
             value, _ = self.state.get(FINAL + name, kind)
             if value is not None:
-                self.book.remember_final(name, value)
+                self.job_cache.remember_final(name, value)
         if len(names) > MOST_LOOKUPS:
-            raise Unavailable("there is more to look up")
+            raise NotExecutedError("there is more to look up")
 
     def _undecidable(self, spec: JobSpec) -> str | None:
         """Why a job can never run, if it can't."""
@@ -146,21 +154,21 @@
                 if reply is not None:
                     return reply
             try:
-                spec, awaits = protocol.parse_job(body), protocol.parse_awaits(body)
+                spec, dependencies = protocol.parse_job(body), protocol.parse_dependencies(body)
             except Invalid as error:
                 return self._refused(name, 400, str(error))
-            if not self.types() or not self.mirror.loaded.is_set():
-                return unsure("not ready to decide")
-            if awaits and not self.formats.pipelines:
+            if not self.types() or not self.cache.loaded.is_set():
+                return unavailable_reply("not ready to decide")
+            if dependencies and not self.schema_version.pipelines:
                 # a process of the version before would start it at once
-                return unsure("not all controllers know pipelines yet")
-            job = self.ledger.sizes.new_job(Job(name, 0, spec, came, awaits=awaits))
-            if awaits and packed_bytes(awaits) > AWAITS_SHARE * self.ledger.sizes.value_bytes:
+                return unavailable_reply("not all controllers know pipelines yet")
+            job = self.job_writer.record_limits.new_job(Job(name, 0, spec, came, dependencies=dependencies))
+            if dependencies and packed_bytes(dependencies) > AWAITS_SHARE * self.job_writer.record_limits.value_bytes:
                 return self._refused(name, 400, "awaits names more jobs than a record holds")
             never = (
                 self._undecidable(spec)
-                or (self.formats.pipelines and self.ledger.sizes.never_fits(job))
-                or self._never_accepted(awaits)
+                or (self.schema_version.pipelines and self.job_writer.record_limits.never_fits(job))
+                or self._never_accepted(dependencies)
             )
             if never:
                 return self._refused(name, 422, never)
@@ -168,30 +176,30 @@
             # a job that is kept has one record or the other
             conditions = {JOB + name: 0, HEAD + name: 0, FINAL + name: 0}
             if job.key != JOB + name:
-                conditions[FORMAT] = self.mirror.get(FORMAT)[1]
+                conditions[FORMAT] = self.cache.get(FORMAT)[1]
             try:
-                self.mirror.write(conditions, [(job.key, value, None)], "submit", patience=0.3)
-            except Conflict:
-                return self.find(name) or unsure("try again")
-            except Unknown:
-                return self.find(name) or unsure("the state service didn't answer")
+                self.cache.write(conditions, [(job.key, value, None)], "submit", patience=0.3)
+            except ConflictError:
+                return self.find(name) or unavailable_reply("try again")
+            except OutcomeUnknownError:
+                return self.find(name) or unavailable_reply("the state service didn't answer")
             self.wake()
             # by now others may have cancelled it, or it may be over
             known = self._known(name) or self.find(name)
-        except (Unavailable, Unknown, NoSuchLease) as error:
+        except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError) as error:
             if str(error).startswith("over"):
                 return Reply(429, {"error": "too many requests"}, LATER)
-            return unsure("the state service can't be reached")
-        return Reply(201, known.body) if known else unsure("try again")
+            return unavailable_reply("the state service can't be reached")
+        return Reply(201, known.body) if known else unavailable_reply("try again")
 
     def _never_accepted(self, names: tuple[str, ...]) -> str | None:
         """Whether a job that is to be waited for can't be; that it was accepted holds for ever, its absence needs a
         read begun after the request came."""
         for name in names:
-            job = self.book.get(name)
+            job = self.job_cache.get(name)
             if job is not None and job.spec.kind == "service":
                 return f"awaits: {name} is a service"
-            if job is None and self.book.final(name) is None and self.find(name) is None:
+            if job is None and self.job_cache.final(name) is None and self.find(name) is None:
                 return f"awaits: {name} was never accepted"
         return None
 
@@ -200,8 +208,8 @@
             return Reply(404, {"error": "no such job"})
         try:
             return self.find(name) or Reply(404, {"error": "no such job"})
-        except (Unavailable, Unknown):
-            return unsure("the state service can't be reached")
+        except (NotExecutedError, OutcomeUnknownError):
+            return unavailable_reply("the state service can't be reached")
 
     def cancel(self, name: str) -> Reply:
         if not protocol.is_job_id(name):
@@ -212,11 +220,11 @@
                 return Reply(404, {"error": "no such job"})
             if found.body["tide"] in ("done", "withdrawn"):
                 return found
-            self.ledger.change(name, lambda job, _: None if job.complete else replace(job, cancelled=True), {})
+            self.job_writer.change(name, lambda job, _: None if job.complete else replace(job, cancelled=True), {})
             known = self._known(name)
             if known is not None and known.body["tide"] in ("done", "withdrawn"):
                 self.wake()
                 return known
-            return unsure("try again")
-        except (Unavailable, Unknown):
-            return unsure("the state service can't be reached")
+            return unavailable_reply("try again")
+        except (NotExecutedError, OutcomeUnknownError):
+            return unavailable_reply("the state service can't be reached")
--- a/tidebend/controller/autoscaling/machine_inventory.py
+++ b/tidebend/controller/autoscaling/machine_inventory.py
@@ -19,7 +19,7 @@
 OVERDUE = 2.0
 
 
-class Listing:
+class MachineInventory:
     """Keeps its place in a list of several pages.
 
     Guards against a fleet of one machine more than a page holds: where calls are few its second page was refused each
--- a/tidebend/controller/autoscaling/rentals.py
+++ b/tidebend/controller/autoscaling/rentals.py
@@ -13,22 +13,22 @@
 
 from tidebend import protocol
 from tidebend.autoscaling import WRONG_BY, Capacity, Offer, to_rent
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
-from tidebend.controller.autoscaling.machine_inventory import Listing
-from tidebend.controller.records.job_writer import Edit, Ledger
-from tidebend.controller.scheduler.scheduling_loop import Planner
-from tidebend.controller.workers.zone_probe import SAMPLE, Round, Witness
-from tidebend.coordination import Coordinator, PeerLink, block_of
-from tidebend.kvclient import Unavailable, Unknown
+from tidebend.controller.autoscaling.machine_inventory import MachineInventory
+from tidebend.controller.records.job_writer import JobEdit, JobWriter
+from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
+from tidebend.controller.workers.zone_probe import SAMPLE, ProbeRound, ZoneProbe
+from tidebend.coordination import Coordinator, PeerExchange, shard_of
+from tidebend.kvclient import NotExecutedError, OutcomeUnknownError
 from tidebend.protocol import Invalid, ListedMachine, MachineType
-from tidebend.quota import Usage
+from tidebend.quota import TeamUsage
 from tidebend.scheduling import need_of
 from tidebend.settings import Settings
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
-from tidebend.zone_failover import Hold, Standing, leave, order
+from tidebend.zone_failover import IsolationWindow, MachineContents, leave, order
 
 log = logging.getLogger("rentals")
 
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class Rented:
+class TrackedMachine:
     """A machine on its way, or one that the list shows."""
 
     type: str
@@ -78,22 +78,22 @@
         self,
         settings: Settings,
         coordinator: Coordinator,
-        link: PeerLink,
-        book: JobBook,
-        fleet: Fleet,
-        ledger: Ledger,
-        planner: Planner,
-        witness: Witness,
+        peer_exchange: PeerExchange,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
+        job_writer: JobWriter,
+        planner: SchedulingLoop,
+        zone_probe: ZoneProbe,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
         self.settings = settings
         self.coordinator = coordinator
-        self.link = link
-        self.book = book
-        self.fleet = fleet
-        self.ledger = ledger
+        self.peer_exchange = peer_exchange
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
+        self.job_writer = job_writer
         self.planner = planner
-        self.witness = witness
+        self.zone_probe = zone_probe
         self.types: dict[str, MachineType] = {}
         self._http = connect(settings.cloud, keep=2)
         # the leader rents and lists; every holder releases
@@ -102,12 +102,12 @@
         self._gone_kept_s = GONE_LEASES * settings.lease_s + GONE_LAGS * settings.list_lag_s
         self._guard_pause_s = min(1.0, settings.report_s / 2.0)
         self._timeout = max(2.0, settings.lease_s / 3.0)
-        self._known: dict[str, Rented] = {}
+        self._known: dict[str, TrackedMachine] = {}
         self._shortage: dict[Offer, float] = {}  # offer -> steady time until which it isn't asked for again
         self._refusals: dict[Offer, int] = {}  # offer -> times in a row that there wasn't enough of it
         self._counter = 0
         self._types_at = -1e9
-        self.listing = Listing(self._call, settings.list_lag_s, settings.cloud_rps)
+        self.listing = MachineInventory(self._call, settings.list_lag_s, settings.cloud_rps)
         self._spare_pause_s = settings.controllers / (SPARE_SHARE * settings.cloud_rps)
         self._leave_pause_s = max(self._guard_pause_s, 1.0 / (LEAVE_SHARE * settings.cloud_rps))
         self._leave_at = -1e9  # steady time of the next turn at which machines of a lost zone are given up
@@ -117,10 +117,10 @@
         # cancelled job that holds places -> steady time since which we know it
         self._cancelled: dict[str, float] | None = None
         # machines that hold what was cancelled long ago: whether they answered when they were asked, the last time last
-        self._asked: dict[str, list[Round]] = {}
+        self._asked: dict[str, list[ProbeRound]] = {}
         self._strangers: dict[str, float] = {}
         self._lead_since: tuple[int | None, float] = (None, 0.0)
-        self.gone_news: dict[str, float] = {}
+        self.recently_released: dict[str, float] = {}
 
     def start(self) -> None:
         threading.Thread(target=self._guard, name="guard", daemon=True).start()
@@ -148,13 +148,13 @@
             return False
         if not names:
             return False
-        self.fleet.released(names)
+        self.machine_registry.mark_released(names)
         now = time.monotonic()
         for name in names:
             self._known.pop(name, None)
-            self.gone_news[name] = now
-        for name in [n for n, at in self.gone_news.items() if now - at > 6 * self.settings.lease_s]:
-            del self.gone_news[name]
+            self.recently_released[name] = now
+        for name in [n for n, at in self.recently_released.items() if now - at > 6 * self.settings.lease_s]:
+            del self.recently_released[name]
         log.info("released %s", ", ".join(names))
         self._bury(set(names))
         return whole
@@ -162,13 +162,13 @@
     def _bury(self, names: set[str]) -> None:
         """The cloud has confirmed that machines are gone, and with them all that they ran or might have started."""
 
-        def edit(job: Job, _: Usage) -> Job:
+        def edit(job: Job, _: TeamUsage) -> Job:
             return job.without(job.places(names), 0)
 
-        jobs = sorted({job.id for name in names for job, _ in self.book.on_machine(name)})
+        jobs = sorted({job.id for name in names for job, _ in self.job_cache.on_machine(name)})
         try:
-            self.ledger.change_all([Edit(job, edit) for job in jobs])
-        except (Unavailable, Unknown) as error:
+            self.job_writer.change_all([JobEdit(job, edit) for job in jobs])
+        except (NotExecutedError, OutcomeUnknownError) as error:
             log.info("%s keep claims on machines that are gone: %s", ", ".join(jobs), error)
             return  # tried again by the guard
         self.planner.wake()
@@ -177,82 +177,88 @@
         while True:
             time.sleep(self._guard_pause_s * random.uniform(0.8, 1.2))
             try:
-                self.guard_once()
+                self.check_machines_once()
             except Exception:
                 log.exception("guard")
                 time.sleep(1.0)
 
-    def guard_once(self) -> None:
+    def check_machines_once(self) -> None:
         now = time.monotonic()
-        with self.fleet.lock:
-            holding = self.book.machines()
-            gone = {name for name in holding if name in self.fleet.gone}
-        self.fleet.forget_gone(now - self._gone_kept_s, needed=holding)
+        with self.machine_registry.lock:
+            holding = self.job_cache.machines()
+            gone = {name for name in holding if name in self.machine_registry.released_at}
+        self.machine_registry.forget_released(now - self._gone_kept_s, needed=holding)
         if gone:
             self._bury(gone)  # a write that failed before
         # Guards a controller that was cut off: what others gave back meanwhile it would take for silent, and once that
         # is all it knows of its zone, for a zone that nobody hears.
-        told = {row[0] for peer in self.link.peers.values() for row in peer.machines or () if row[4]}
-        self.fleet.drop([machine.name for machine in self.fleet.all() if machine.name in told])
-        grants = {grant.block: grant for grant in self.coordinator.grants()}
+        told = {row[0] for peer in self.peer_exchange.peers.values() for row in peer.machines or () if row[4]}
+        self.machine_registry.forget([machine.name for machine in self.machine_registry.all() if machine.name in told])
+        grants = {grant.shard: grant for grant in self.coordinator.grants()}
         if now - self._guarded_at > self._guard_pause_s + SENT_ON_S:
             self._turned_since.clear()  # we stood still, or are behind: nobody was heard for that reason
         self._guarded_at = now
         foreign = [
-            m.name for m in self.fleet.all() if block_of(m.zone) not in grants and now - m.heard > self.settings.lease_s
+            m.name
+            for m in self.machine_registry.all()
+            if shard_of(m.zone) not in grants and now - m.last_heartbeat > self.settings.lease_s
         ]
-        self.fleet.drop(foreign)
-        self.witness.look()
+        self.machine_registry.forget(foreign)
+        self.zone_probe.look()
         self._look_for_cancelled(now)
         self._release_overdue(told, now)
         if not self.coordinator.lease_valid:
             return
         spare: list[Machine] = []
-        for block, grant in grants.items():
-            own = [m for m in self.fleet.all() if block_of(m.zone) == block]
+        for shard, grant in grants.items():
+            own = [m for m in self.machine_registry.all() if shard_of(m.zone) == shard]
             known = {m.name for m in own}
             # machines with claims that have never reported to us
             unseen: dict[str, float] = {}
-            for job in self.book.live():
-                for claim in job.claims:
-                    if block_of(claim.zone) == block and claim.machine not in known:
-                        unseen[claim.machine] = grant.held
+            for job in self.job_cache.live():
+                for allocation in job.allocations:
+                    if shard_of(allocation.zone) == shard and allocation.machine not in known:
+                        unseen[allocation.machine] = grant.held_since
             silent = {
                 m.name: since
                 for m in own
-                if now - (since := self._silent_since(m, grant.held)) > self.planner.places.suspect_s
+                if now - (since := self._silent_since(m, grant.held_since)) > self.planner.free_capacity.suspect_s
             }
             # asked directly before they are given up: a worker may be on its way to us from a dead controller
             self.planner.send(
-                {m.name for m in own if now - max(m.heard, m.answered) > 0.6 * self.planner.places.suspect_s}
+                {
+                    m.name
+                    for m in own
+                    if now - max(m.last_heartbeat, m.last_direct_answer) > 0.6 * self.planner.free_capacity.suspect_s
+                }
             )
             silent.update(
-                {name: since for name, since in unseen.items() if now - since > self.planner.places.suspect_s}
+                {name: since for name, since in unseen.items() if now - since > self.planner.free_capacity.suspect_s}
             )
-            until = self._left_alone_until(block)
-            if until is not None and until > grant.held:
+            until = self._left_alone_until(shard)
+            if until is not None and until > grant.held_since:
                 # asked by all, and heard by none: no silence of our own need be waited for
-                silent |= {m.name: grant.held for m in own if m.heard <= grant.held} | unseen
+                silent |= {m.name: grant.held_since for m in own if m.last_heartbeat <= grant.held_since} | unseen
             total = len(own) + len(unseen)
             if self.settings.peers and (
-                (silent and len(silent) == total) or self._turned_away(block, own, grant.held, now)
+                (silent and len(silent) == total) or self._turned_away(shard, own, grant.held_since, now)
             ):
-                self.coordinator.unheard(block, total, 2.0 * self.settings.lease_s)
-            self._silent(block, silent, total, now)
+                self.coordinator.mark_unreachable(shard, total, 2.0 * self.settings.lease_s)
+            self._silent(shard, silent, total, now)
             spare += self._idle(own, now)
             for machine in own:
-                with self.fleet.lock:
+                with self.machine_registry.lock:
                     if machine.draining:
                         self._empty(machine)
         self._spare(spare, now)
 
     def _look_for_cancelled(self, now: float) -> None:
-        if not self.coordinator.mirror.loaded.is_set():
+        if not self.coordinator.cache.loaded.is_set():
             return
         # what was cancelled by our first read may have been so for any time
         before, first = (self._cancelled, now) if self._cancelled is not None else ({}, -math.inf)
         self._cancelled = {
-            job.id: before.get(job.id, first) for job in self.book.live() if job.cancelled and job.claims
+            job.id: before.get(job.id, first) for job in self.job_cache.live() if job.cancelled and job.allocations
         }
 
     def _release_overdue(self, told: set[str], now: float) -> None:
@@ -264,26 +270,29 @@
         the proof once the state service is back. A worker that is merely out of reach has lost its tasks by then. Not
         by a controller that hears nobody at all: then it is itself out of touch.
         """
-        grants = {grant.block for grant in self.coordinator.grants()}
-        heard = [peer.at for peer in self.link.peers.values()]
-        with self.fleet.lock:
-            last = {m.name: max(m.heard, m.answered) for m in self.fleet.machines.values()}
-            gone = told | self.fleet.gone.keys()  # their claims wait for the state service
+        grants = {grant.shard for grant in self.coordinator.grants()}
+        heard = [peer.at for peer in self.peer_exchange.peers.values()]
+        with self.machine_registry.lock:
+            last = {
+                m.name: max(m.last_heartbeat, m.last_direct_answer) for m in self.machine_registry.machines.values()
+            }
+            gone = told | self.machine_registry.released_at.keys()  # their claims wait for the state service
         overdue = {
-            claim.machine: claim.zone
-            for job in self.book.live()
+            allocation.machine: allocation.zone
+            for job in self.job_cache.live()
             if self._long_cancelled(job, now)
-            for claim in job.claims
-            if claim.machine not in gone and now - last.get(claim.machine, -math.inf) > 2.0 * self.settings.report_s
+            for allocation in job.allocations
+            if allocation.machine not in gone
+            and now - last.get(allocation.machine, -math.inf) > 2.0 * self.settings.report_s
         }
         self._asked = {name: asked for name, asked in self._asked.items() if name in overdue}
-        addresses = self.witness.addresses() if overdue else {}
+        addresses = self.zone_probe.addresses() if overdue else {}
         # few at a time: those who ask whether a zone is lost must not wait behind them
         open_ = sum(not (asked[-1].mute or asked[-1].answered) for asked in self._asked.values() if asked)
         doomed = []
         for name, zone in overdue.items():
-            block = block_of(zone)
-            if block not in grants and not self._nobody_holds(block, now):
+            shard = shard_of(zone)
+            if shard not in grants and not self._nobody_holds(shard, now):
                 continue
             asked = self._asked.setdefault(name, [])
             if len(asked) >= TRIES and all(round_.mute for round_ in asked[-TRIES:]):
@@ -291,50 +300,50 @@
             elif not asked or asked[-1].mute or asked[-1].answered:
                 if name in addresses and open_ < SAMPLE:
                     open_ += 1
-                    asked[:] = [*asked[1 - TRIES :], self.witness.ask(addresses[name][1])]
-                elif name not in addresses and block in grants:
+                    asked[:] = [*asked[1 - TRIES :], self.zone_probe.ask(addresses[name][1])]
+                elif name not in addresses and shard in grants:
                     # whoever knows it hasn't told us, and it would have come to us by now
-                    asked[:] = [Round(1, mute=1)] * TRIES
+                    asked[:] = [ProbeRound(1, mute=1)] * TRIES
         if doomed and now - max([*heard, *last.values()], default=now) < self.settings.lease_s:
             self.release(doomed[:MOST_RELEASED])
 
-    def _nobody_holds(self, block: str, now: float) -> bool:
-        peer = self.link.peers.get(self.coordinator.holder(block) or "")
+    def _nobody_holds(self, shard: str, now: float) -> bool:
+        peer = self.peer_exchange.peers.get(self.coordinator.holder(shard) or "")
         return peer is None or now - peer.at > self.settings.lease_s
 
     def _long_cancelled(self, job: Job, now: float) -> bool:
         """Whether a job was cancelled so long ago that what holds its tasks is to be given up if it doesn't answer."""
         return job.cancelled and (self._cancelled or {}).get(job.id, now) < now - self.settings.staleness_bound_s
 
-    def _turned_away(self, block: str, own: list[Machine], granted: float, now: float) -> bool:
+    def _turned_away(self, shard: str, own: list[Machine], granted: float, now: float) -> bool:
         """Whether a block's workers have lost us alone: none is heard, and they come to other controllers.
 
         Guards workers that go back and forth, sent on to us by everybody else, each time at the cost of a time-out: by
         when each of them was suspect by itself, the leases of some ran out.
         """
-        heard = max((m.heard for m in own), default=granted)
+        heard = max((m.last_heartbeat for m in own), default=granted)
         if (
             len(own) < FEW_MACHINES
             or heard <= granted
-            or self.link.came(block) <= heard
+            or self.peer_exchange.last_report(shard) <= heard
             or now - heard <= QUIET_REPORTS * self.settings.report_s
         ):
-            self._turned_since.pop(block, None)
+            self._turned_since.pop(shard, None)
             return False
-        return now - self._turned_since.setdefault(block, now) > SENT_ON_S
+        return now - self._turned_since.setdefault(shard, now) > SENT_ON_S
 
     def _silent_since(self, machine: Machine, granted: float) -> float:
         """When we last knew it to be alive; answers to direct commands count for no longer than a lease, since a
         worker that reports to nobody loses its tasks all the same."""
-        reported = max(machine.heard, granted)
-        return max(reported, min(machine.answered, reported + self.settings.lease_s))
+        reported = max(machine.last_heartbeat, granted)
+        return max(reported, min(machine.last_direct_answer, reported + self.settings.lease_s))
 
-    def _silent(self, block: str, silent: dict[str, float], total: int, now: float) -> None:
+    def _silent(self, shard: str, silent: dict[str, float], total: int, now: float) -> None:
         """Release what is out of reach: only then its tasks may be started elsewhere."""
         # If most are silent the network is to blame rather than they, and they may go on working on their side.
-        few = 2 * len(silent) <= max(total, 2) or self.coordinator.heard_by_nobody(block)
+        few = 2 * len(silent) <= max(total, 2) or self.coordinator.is_unreachable_by_all(shard)
         patience = self.settings.lease_s * (GIVEN_UP_AFTER if few else 2.0)
-        until = self._left_alone_until(block)
+        until = self._left_alone_until(shard)
         if until is not None and len(silent) == total and until > min(silent.values(), default=now):
             self._move_out(silent, until, now)
             return
@@ -347,25 +356,29 @@
             rows = sorted((self._standing(name, now) for name in doomed), key=order)
             self.release([row.machine for row in rows[:MOST_RELEASED]])
 
-    def _left_alone_until(self, block: str) -> float | None:
+    def _left_alone_until(self, shard: str) -> float | None:
         """Until when a zone that nobody hears works on inside at the most (steady time); None: it doesn't.
 
         Granted isn't held: a controller that was cut off before it learnt of its grant turns its workers away, and
         their tasks end with their leases. Its own news says what it holds.
         """
-        alone = self.coordinator.left_alone(block)
-        if alone is None or not self.coordinator.heard_by_nobody(block) or not self.coordinator.works_on(block):
+        alone = self.coordinator.isolated_holder(shard)
+        if (
+            alone is None
+            or not self.coordinator.is_unreachable_by_all(shard)
+            or not self.coordinator.isolated_holder_may_act(shard)
+        ):
             return None
         return alone[1] + self.settings.staleness_bound_s
 
     def _any_cancelled(self, name: str) -> bool:
-        return any(job.cancelled for job, _ in self.book.on_machine(name))
+        return any(job.cancelled for job, _ in self.job_cache.on_machine(name))
 
     def _move_out(self, silent: dict[str, float], until: float, now: float) -> None:
         """What stands in a zone that works on inside is given up in the order of `zones.leave`."""
         # the last answered report was sent up to a report's interval before, and a lease counts from there
         end = until + self.settings.lease_s - 1.25 * self.settings.report_s
-        hold = Hold(until - MOVE_AHEAD * self.settings.staleness_bound_s, until, end)
+        hold = IsolationWindow(until - MOVE_AHEAD * self.settings.staleness_bound_s, until, end)
         doomed = [
             name for name, since in silent.items() if now - since > self.settings.lease_s and self._any_cancelled(name)
         ]
@@ -375,22 +388,24 @@
         if doomed:
             self.release(list(dict.fromkeys(doomed))[:MOST_RELEASED])
 
-    def _standing(self, name: str, now: float) -> Standing:
-        replicas, ends = 0, []
+    def _standing(self, name: str, now: float) -> MachineContents:
+        replicas, completions = 0, []
         clock = time.time()
-        with self.fleet.lock:
-            machine = self.fleet.machines.get(name)
-        for job, claim in self.book.on_machine(name):
+        with self.machine_registry.lock:
+            machine = self.machine_registry.machines.get(name)
+        for job, allocation in self.job_cache.on_machine(name):
             if job.spec.kind == "service":
-                replicas += claim.tasks.bit_count()
+                replicas += allocation.tasks.bit_count()
                 continue
             kind = self.types.get(machine.type) if machine is not None else None
             fetch_s = kind.fetch_s(job.spec.image_gb) if kind is not None else 0.0
-            ends.append(now - (clock - claim.at) + fetch_s + WRONG_BY * self.planner.estimates.corrected(job.spec))
-        return Standing(name, replicas, tuple(ends), self._worth_waiting_s(name))
+            completions.append(
+                now - (clock - allocation.at) + fetch_s + WRONG_BY * self.planner.estimates.corrected(job.spec)
+            )
+        return MachineContents(name, replicas, tuple(completions), self._worth_waiting_s(name))
 
     def _worth_waiting_s(self, name: str) -> float:
-        jobs = [job for job, _ in self.book.on_machine(name)]
+        jobs = [job for job, _ in self.job_cache.on_machine(name)]
         if not jobs or any(job.spec.kind != "gang" for job in jobs):
             return 0.0
         return max(
@@ -408,7 +423,7 @@
     def _idle(self, own: list[Machine], now: float) -> list[Machine]:
         """Machines of one block that aren't worth keeping."""
         for machine in own:
-            if self.book.on_machine(machine.name):
+            if self.job_cache.on_machine(machine.name):
                 machine.idle_since = None
             elif machine.idle_since is None:
                 machine.idle_since = now
@@ -417,7 +432,7 @@
             m
             for m in own
             if m.idle_since is not None
-            and not self.book.on_machine(m.name)
+            and not self.job_cache.on_machine(m.name)
             and all(task.state == "ended" for task in m.tasks.values())
         ]
         doomed = []
@@ -437,16 +452,16 @@
         """Give back what has been gathered of idle machines, of all our blocks in one call."""
         if not doomed or now < self._spare_at:
             return
-        with self.fleet.lock:
+        with self.machine_registry.lock:
             # from here on no claim can come: the planner passes over machines that are being released
             for machine in doomed:
                 machine.releasing = True
-        going = [m.name for m in doomed if not self.book.on_machine(m.name)][:MOST_RELEASED]
+        going = [m.name for m in doomed if not self.job_cache.on_machine(m.name)][:MOST_RELEASED]
         if going and self.release(going):
             self._spare_at = now + self._spare_pause_s
-        with self.fleet.lock:
+        with self.machine_registry.lock:
             for machine in doomed:
-                machine.releasing = machine.name in self.fleet.gone
+                machine.releasing = machine.name in self.machine_registry.released_at
 
     def _keep_s(self, machine: Machine) -> float:
         """How long an idle machine is worth keeping."""
@@ -456,9 +471,9 @@
         return self._replacement_s(kind, max(machine.images.values(), default=0.0))
 
     def _empty(self, machine: Machine) -> None:
-        for job, claim in self.book.on_machine(machine.name):
-            for index in members(claim.tasks):
-                machine.stops.setdefault((job.id, index, claim.attempt), 1.5 * job.spec.save_s)
+        for job, allocation in self.job_cache.on_machine(machine.name):
+            for index in members(allocation.tasks):
+                machine.stops.setdefault((job.id, index, allocation.attempt), 1.5 * job.spec.save_s)
 
     # The leader: machine types, the list, rentals
 
@@ -466,14 +481,14 @@
         pause = max(1.0, 1.5 / self.settings.cloud_rps)
         while True:
             try:
-                self.lead_once()  # at once after a start: without the machine types nothing can be decided
+                self.scale_once()  # at once after a start: without the machine types nothing can be decided
             except Invalid as error:
                 log.error("cloud: unexpected answer: %s", error)
             except Exception:
                 log.exception("rentals")
             time.sleep(pause * random.uniform(0.9, 1.1))
 
-    def lead_once(self) -> None:
+    def scale_once(self) -> None:
         now = time.monotonic()
         term = self.coordinator.term
         # every controller must know the types to decide submissions; only the leader needs current prices
@@ -496,22 +511,22 @@
         if self.listing.whole is not None:
             self._rent(term, self.listing.whole, self.listing.as_of)
 
-    def _fleets(self) -> tuple[dict[str, Rented], set[str]]:
+    def _fleets(self) -> tuple[dict[str, TrackedMachine], set[str]]:
         """Machines that some holder hears, and those that were released."""
         now = time.monotonic()
         heard = {}
-        gone = set(self.fleet.gone)
-        for machine in self.fleet.all():
+        gone = set(self.machine_registry.released_at)
+        for machine in self.machine_registry.all():
             if not machine.draining and not machine.releasing:
-                heard[machine.name] = Rented(machine.type, machine.zone, machine.spot, machine.first_heard)
-        for peer in self.link.peers.values():
+                heard[machine.name] = TrackedMachine(machine.type, machine.zone, machine.spot, machine.first_heartbeat)
+        for peer in self.peer_exchange.peers.values():
             if now - peer.at > self.settings.lease_s or peer.machines is None:
                 continue
             for name, kind, zone, spot, released, *_ in peer.machines:
                 if released:
                     gone.add(name)
                 else:
-                    heard[name] = Rented(kind, zone, bool(spot), now)
+                    heard[name] = TrackedMachine(kind, zone, bool(spot), now)
         return heard, gone
 
     def _rent(self, term: int, listed: dict[str, ListedMachine], as_of: float) -> None:
@@ -519,15 +534,15 @@
         for."""
         now, clock = time.monotonic(), time.time()
         heard, gone = self._fleets()
-        witnessed = {grant.block for grant in self.coordinator.grants()}
-        for peer in self.link.peers.values():
-            if now - peer.at < 3.0 * self.link.pause:
-                witnessed |= peer.blocks
+        witnessed = {grant.shard for grant in self.coordinator.grants()}
+        for peer in self.peer_exchange.peers.values():
+            if now - peer.at < 3.0 * self.peer_exchange.pause:
+                witnessed |= peer.shards
         lag = 2.0 * self.settings.list_lag_s
         failed = [name for name, row in listed.items() if row.state == "failed" and name not in gone]
         for name, row in listed.items():
             if name not in gone and row.state != "failed":
-                self._known.setdefault(name, Rented(row.type, row.zone, row.spot, now - row.age_s))
+                self._known.setdefault(name, TrackedMachine(row.type, row.zone, row.spot, now - row.age_s))
         late = []
         for name, known in list(self._known.items()):
             kind = self.types.get(known.type)
@@ -542,7 +557,7 @@
             if row is not None and row.state == "running":
                 # Up by the list, but nobody hears it. Whether that is so only its block's holder can tell: without
                 # fresh news of the holder nothing follows from our not knowing.
-                if block_of(known.zone) not in witnessed:
+                if shard_of(known.zone) not in witnessed:
                     self._strangers.pop(name, None)
                     continue
                 since = self._strangers.setdefault(name, now)
@@ -555,7 +570,7 @@
         if now - self._lead_since[1] < 1.5:
             return
         # what is rented in a zone that nobody hears can't be used, nor what stands there
-        cut = {zone for zone in self.settings.zones if self.coordinator.heard_by_nobody(block_of(zone))}
+        cut = {zone for zone in self.settings.zones if self.coordinator.is_unreachable_by_all(shard_of(zone))}
         capacities = []
         for name, known in sorted({**self._known, **heard}.items()):
             kind = self.types.get(known.type)
@@ -563,21 +578,25 @@
                 continue
             free = [kind.cpus, kind.gpus, kind.memory_gb]
             returns = []
-            for job, claim in self.book.on_machine(name):
-                tasks = claim.tasks.bit_count()
+            for job, allocation in self.job_cache.on_machine(name):
+                tasks = allocation.tasks.bit_count()
                 amount = tuple(part * tasks for part in need_of(job.spec))
                 free = [have - part for have, part in zip(free, amount, strict=True)]
                 if job.spec.kind != "service":
                     # half of the images have to be fetched first, say; and what overruns may go on for long
                     estimate = self.planner.estimates.corrected(job.spec)
-                    left = estimate + 0.5 * kind.fetch_s(job.spec.image_gb) - (clock - claim.at)
+                    left = estimate + 0.5 * kind.fetch_s(job.spec.image_gb) - (clock - allocation.at)
                     returns.append((max(left, 0.3 * estimate), amount))
             ready = 0.0
             if name not in heard:
                 ready = max(1.0, kind.boot_s - (now - known.since))
             capacities.append(Capacity(kind, known.zone, known.spot, tuple(free), ready, returns))
-        wants = [want for want in (self.planner.waiting.want(job, now, clock) for job in self.book.live()) if want]
-        wants += self.planner.waiting.soon(now, clock)
+        wants = [
+            want
+            for want in (self.planner.pending_jobs.request(job, now, clock) for job in self.job_cache.live())
+            if want
+        ]
+        wants += self.planner.pending_jobs.soon(now, clock)
         offers = [
             Offer(kind, zone, spot)
             for kind in self.types.values()
@@ -616,7 +635,7 @@
         if status == 200:
             names = protocol.parse_rented(body)
             for machine in names:
-                self._known[machine] = Rented(offer.type.name, offer.zone, offer.spot, now)
+                self._known[machine] = TrackedMachine(offer.type.name, offer.zone, offer.spot, now)
             log.info(
                 "rented %d of %d %s in %s%s",
                 len(names),
