--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -10,22 +10,22 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB
-from tidebend.cluster_state.machine_registry import Fleet
-from tidebend.cluster_state.record_chunks import PART
+from tidebend.cluster_state.machine_registry import MachineRegistry
+from tidebend.cluster_state.record_chunks import CHUNK
 from tidebend.controller import connection_limits
-from tidebend.controller.api.job_api import Users
+from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.autoscaling.rentals import Rentals
-from tidebend.controller.quota.quota_rebalancing import ShareMoves
-from tidebend.controller.records.job_writer import Ledger
-from tidebend.controller.records.record_limits import Sizes
-from tidebend.controller.scheduler.scheduling_loop import Planner
-from tidebend.controller.workers.heartbeats import Dispatcher, Workers
-from tidebend.controller.workers.zone_probe import Witness
-from tidebend.coordination import Coordinator, PeerLink, block_of
-from tidebend.coordination.schema_version import FORMAT, Formats
-from tidebend.kvclient import FINAL, Mirror, StateClient
+from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.records.job_writer import JobWriter
+from tidebend.controller.records.record_limits import RecordLimits
+from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
+from tidebend.controller.workers.heartbeats import CommandDispatcher, HeartbeatHandler
+from tidebend.controller.workers.zone_probe import ZoneProbe
+from tidebend.coordination import Coordinator, PeerExchange, shard_of
+from tidebend.coordination.schema_version import FORMAT, SchemaVersion
+from tidebend.kvclient import FINAL, KeyValueClient, WatchCache
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, Reply, Server
 
@@ -42,95 +42,117 @@
         self.settings = settings
         self._patient_until = time.monotonic() + FIRST_READ * settings.controller_lease_s
         lock = threading.RLock()
-        self.state = StateClient(
+        self.state = KeyValueClient(
             settings.state,
             settings.state_limits,
             settings.controllers,
             max(0.6, settings.controller_lease_s / 4.0),
             connect,
         )
-        self.book = JobBook(lock, KEEP_FINALS)
+        self.job_cache = JobCache(lock, KEEP_FINALS)
         # A watch that hangs unnoticed keeps the cache old for its whole time, so it waits for no longer than until our
         # lease is renewed again: no more requests than the renewals make.
-        self.mirror = Mirror(
+        self.cache = WatchCache(
             self.state, self._changed, lock, watch_s=settings.controller_lease_s / 4.0, retry_s=0.1 * settings.lease_s
         )
-        self.fleet = Fleet()
-        self.dispatcher = Dispatcher(settings, self.book, self.fleet, lambda: self.planner.wake(), connect)
-        self.formats = Formats(settings, self.state, self.mirror)
-        self.coordinator = Coordinator(settings, self.state, self.mirror, self.dispatcher.took_up, self.formats)
-        self.shares = ShareMoves(settings, self.mirror, self.book, self.formats, self.coordinator.held_zones)
-        self.sizes = Sizes(settings.state_limits, self.formats, self.state.writes_per_s)
-        self.ledger = Ledger(self.mirror, self.book, self.shares, self.sizes)
-        self.planner = Planner(
+        self.machine_registry = MachineRegistry()
+        self.command_dispatcher = CommandDispatcher(
+            settings, self.job_cache, self.machine_registry, lambda: self.planner.wake(), connect
+        )
+        self.schema_version = SchemaVersion(settings, self.state, self.cache)
+        self.coordinator = Coordinator(
+            settings, self.state, self.cache, self.command_dispatcher.on_shard_acquired, self.schema_version
+        )
+        self.quota_rebalancer = QuotaRebalancer(
+            settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
+        )
+        self.record_limits = RecordLimits(settings.state_limits, self.schema_version, self.state.writes_per_s)
+        self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
+        self.planner = SchedulingLoop(
             settings,
             self.coordinator,
-            self.book,
-            self.fleet,
-            self.ledger,
-            self.shares,
+            self.job_cache,
+            self.machine_registry,
+            self.job_writer,
+            self.quota_rebalancer,
             self._types,
-            self.dispatcher.send,
+            self.command_dispatcher.send,
+        )
+        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
+        self.command_dispatcher.coordinator, self.command_dispatcher.peer_exchange = (
+            self.coordinator,
+            self.peer_exchange,
         )
-        self.link = PeerLink(settings, self.news, self.coordinator.told)
-        self.dispatcher.coordinator, self.dispatcher.link = self.coordinator, self.link
-        self.planner.ends.others_find_at_fault = self.link.at_fault
-        self.coordinator.was_held = lambda node, block: block in self.link.peers[node].blocks
-        self.witness = Witness(settings, self.coordinator, self.link, self.fleet, connect)
+        self.planner.completions.peers_crash_looping = self.peer_exchange.is_crash_looping
+        self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
+        self.zone_probe = ZoneProbe(settings, self.coordinator, self.peer_exchange, self.machine_registry, connect)
         self.rentals = Rentals(
             settings,
             self.coordinator,
-            self.link,
-            self.book,
-            self.fleet,
-            self.ledger,
+            self.peer_exchange,
+            self.job_cache,
+            self.machine_registry,
+            self.job_writer,
             self.planner,
-            self.witness,
+            self.zone_probe,
             connect,
         )
-        self.users = Users(
-            settings, self.state, self.mirror, self.book, self.ledger, self.formats, self._types, self.planner.wake
+        self.job_api = JobApi(
+            settings,
+            self.state,
+            self.cache,
+            self.job_cache,
+            self.job_writer,
+            self.schema_version,
+            self._types,
+            self.planner.wake,
         )
-        self.planner.look_up = self.users.look_up
-        self.workers = Workers(
-            settings, self.mirror, self.book, self.fleet, self.coordinator, self.planner.wake, self.witness.came
+        self.planner.look_up_finals = self.job_api.look_up_finals
+        self.heartbeats = HeartbeatHandler(
+            settings,
+            self.cache,
+            self.job_cache,
+            self.machine_registry,
+            self.coordinator,
+            self.planner.wake,
+            self.zone_probe.record_report,
         )
 
     def _types(self) -> dict[str, protocol.MachineType]:
         return self.rentals.types
 
     def _changed(self, key: str, value: Any, version: int) -> None:
-        self.book.on_change(key, value, version)
-        if key == FORMAT and self.formats.pipelines:
+        self.job_cache.on_change(key, value, version)
+        if key == FORMAT and self.schema_version.pipelines:
             # from now on the limits that are to come may be in force
             self.state.keep_within(self.settings.state_next)
-            self.sizes.keep_within(self.settings.state_next, self.state.writes_per_s)
-            log.info("format %d is in force", self.formats.version)
-        if key.startswith((JOB, HEAD, PART, FINAL)):
+            self.record_limits.keep_within(self.settings.state_next, self.state.writes_per_s)
+            log.info("format %d is in force", self.schema_version.version)
+        if key.startswith((JOB, HEAD, CHUNK, FINAL)):
             self.planner.wake()
         else:
             self.coordinator.wake.set()
 
-    def news(self) -> dict[str, Any]:
+    def peer_frame(self) -> dict[str, Any]:
         machines = [
             [m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session]
-            for m in self.fleet.all()
-            if not m.draining and not m.releasing and self.coordinator.grant(block_of(m.zone))
+            for m in self.machine_registry.all()
+            if not m.draining and not m.releasing and self.coordinator.grant(shard_of(m.zone))
         ]
-        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.gone_news)]
+        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.recently_released)]
         frame = {
             "from": self.settings.name,
-            "state_contact": time.time() - self.mirror.age_s,
+            "state_contact": time.time() - self.cache.age_s,
             "machines": machines,
-            "held": [grant.block for grant in self.coordinator.grants()],
+            "held": [grant.shard for grant in self.coordinator.grants()],
             "blocks": self.coordinator.table(),
         }
-        if self.formats.pipelines:
-            frame.update(at_fault=self.planner.ends.found_at_fault(), came=self.witness.came_ago())
+        if self.schema_version.pipelines:
+            frame.update(at_fault=self.planner.completions.crash_looping_jobs(), came=self.zone_probe.report_ages())
         return frame
 
     def _knows(self) -> bool:
-        return self.mirror.loaded.is_set() and bool(self.rentals.types)
+        return self.cache.loaded.is_set() and bool(self.rentals.types)
 
     def _first_read(self) -> None:
         """Wait for it, if it is under way.
@@ -146,12 +168,12 @@
         if not self._knows():
             return False
         bound = self.settings.controller_lease_s
-        if self.mirror.age_s <= bound:
+        if self.cache.age_s <= bound:
             return True
         now = time.monotonic()
         others = [
             time.time() - peer.as_of <= bound + self.settings.clock_off_s
-            for peer in self.link.peers.values()
+            for peer in self.peer_exchange.peers.values()
             if now - peer.at <= bound
         ]
         return not any(others)
@@ -159,7 +181,7 @@
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         path = path.partition("?")[0]
         if path == protocol.PATH_REPORT:
-            reply = self.workers.report(body()) if method == "POST" else Reply(405, {"error": "use POST"})
+            reply = self.heartbeats.report(body()) if method == "POST" else Reply(405, {"error": "use POST"})
             reply.yields = True  # a worker connects anew for its next report, a user would have to ask again
             return reply
         self._first_read()
@@ -175,27 +197,27 @@
 
     def _users_request(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         if path == protocol.PATH_JOBS:
-            return self.users.submit(body()) if method == "POST" else Reply(405, {"error": "use POST"})
+            return self.job_api.submit(body()) if method == "POST" else Reply(405, {"error": "use POST"})
         if path.startswith(protocol.PATH_JOBS + "/"):
             name, slash, action = path[len(protocol.PATH_JOBS) + 1 :].partition("/")
             if not slash:
-                return self.users.poll(name) if method == "GET" else Reply(405, {"error": "use GET"})
+                return self.job_api.poll(name) if method == "GET" else Reply(405, {"error": "use GET"})
             if action == "cancel":
                 if method != "POST":
                     return Reply(405, {"error": "use POST"})
                 body()
-                return self.users.cancel(name)
+                return self.job_api.cancel(name)
         return Reply(404, {"error": "no such path"})
 
     def begin(self) -> None:
         """Start all threads; requests reach us through `route`, by whichever server."""
-        self.mirror.start()
+        self.cache.start()
         self.coordinator.start()
         if self.settings.peers:
-            self.link.start()
-        self.dispatcher.start()
+            self.peer_exchange.start()
+        self.command_dispatcher.start()
         if self.settings.peers:
-            self.witness.start()
+            self.zone_probe.start()
         self.planner.start()
         self.rentals.start()
 
--- a/tidebend/controller/quota/quota_release.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -5,28 +5,30 @@
 import contextlib
 from collections.abc import Iterable
 
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.controller.quota.quota_rebalancing import ShareMoves
-from tidebend.controller.records.completions import Ends
-from tidebend.kvclient import Conflict
+from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.records.completions import CompletionTracker
+from tidebend.kvclient import ConflictError
 from tidebend.quota import Amounts
 from tidebend.settings import Settings
 
 
-class Reclaims:
+class QuotaReleaser:
     """Every holder looks at the same records: who waits, what is free, and what of its own shares it doesn't use.
 
     That its work waits is all that a team has to say, and its job's record says it. A share lies with whoever holds its
     zone's block: so it waits for a holder that is dead or cut off no longer than for that block's next holder.
     """
 
-    def __init__(self, settings: Settings, book: JobBook, shares: ShareMoves, ends: Ends) -> None:
+    def __init__(
+        self, settings: Settings, job_cache: JobCache, quota_rebalancer: QuotaRebalancer, completions: CompletionTracker
+    ) -> None:
         self.settings = settings
-        self.book = book
-        self.shares = shares
+        self.job_cache = job_cache
+        self.quota_rebalancer = quota_rebalancer
         # a moment later, since it is we who use them first: our own tasks that end make room for the team's next
-        self.pause_s = ends.claim_pause_s
+        self.pause_s = completions.allocation_pause_s
         self._since: dict[str, float] = {}  # team -> steady time since which what is free is too small
 
     def look(self, waiting: Iterable[Job], now: float) -> None:
@@ -35,8 +37,8 @@
         for team in sorted(short):
             if now - self._since[team] > self.pause_s:
                 self._since[team] = now
-                with contextlib.suppress(Conflict):
-                    self.shares.give_back(team)
+                with contextlib.suppress(ConflictError):
+                    self.quota_rebalancer.release_shares(team)
 
     def _short(self, waiting: Iterable[Job]) -> set[str]:
         """Teams some job of which can't begin another task, or can't begin at all, with what is free."""
@@ -48,7 +50,7 @@
             if limit is None or spec.team in short:
                 continue
             if spec.team not in totals:
-                shares = self.book.team(spec.team).shares
+                shares = self.job_cache.team(spec.team).shares
                 totals[spec.team] = shares.total() if shares else None
             total = totals[spec.team]
             # guards against a gang that waits for ever beside a free amount that any one of its tasks would fit into
--- a/tidebend/controller/records/completions.py
+++ b/tidebend/controller/records/completions.py
@@ -8,16 +8,16 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
-from tidebend.controller.records.job_writer import Edit, Ledger
+from tidebend.controller.records.job_writer import JobEdit, JobWriter
 from tidebend.controller.records.record_limits import packed_bytes
-from tidebend.controller.scheduler.run_time_estimates import Estimates
-from tidebend.coordination import Coordinator, Grant, block_of
+from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
+from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.protocol import JobSpec
-from tidebend.quota import Amounts, Usage
+from tidebend.quota import Amounts, TeamUsage
 from tidebend.settings import Settings
 
 log = logging.getLogger("planner")
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Setback:
+class RetryBackoff:
     """A job's failures: it is tried again with growing pauses."""
 
     failures: int = 0
@@ -52,10 +52,10 @@
 
 
 @dataclass
-class ProvenEnds:
+class ProvenCompletions:
     ended: dict[tuple[str, int, int], int] = field(default_factory=dict)
     done: int = 0
-    grants: set[Grant] = field(default_factory=set)
+    grants: set[ShardGrant] = field(default_factory=set)
 
     def amounts(self, spec: JobSpec) -> Amounts:
         """What these ends give back of the team's limit."""
@@ -63,69 +63,71 @@
         return tasks * spec.cpus, tasks * spec.gpus
 
 
-class Ends:
+class CompletionTracker:
     """What has ended in our blocks and isn't recorded yet."""
 
     def __init__(
         self,
         settings: Settings,
         coordinator: Coordinator,
-        book: JobBook,
-        fleet: Fleet,
-        ledger: Ledger,
-        estimates: Estimates,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
+        job_writer: JobWriter,
+        estimates: RunTimeEstimates,
         send: Callable[[set[str]], None],
     ) -> None:
         self.settings = settings
         self.coordinator = coordinator
-        self.book = book
-        self.fleet = fleet
-        self.ledger = ledger
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
+        self.job_writer = job_writer
         self.estimates = estimates
         self.send = send
-        self.setbacks: dict[str, Setback] = {}
-        self.others_find_at_fault: Callable[[], frozenset[str]] = frozenset
-        self.proven: dict[str, ProvenEnds] = {}  # and not yet recorded
+        self.backoffs: dict[str, RetryBackoff] = {}
+        self.peers_crash_looping: Callable[[], frozenset[str]] = frozenset
+        self.proven: dict[str, ProvenCompletions] = {}  # and not yet recorded
         self.freed: dict[str, Amounts] = {}  # team -> what these ends give back of its limit
         self._since: dict[str, float] = {}  # job -> steady time since which ends wait to be recorded
         self.gather_s = settings.knobs.gather * settings.lease_s
         # an array whose tasks follow one another as room comes up claims no more often than this: each time costs
-        self.claim_pause_s = 0.5 * self.gather_s
+        self.allocation_pause_s = 0.5 * self.gather_s
 
-    def settle(self) -> None:
+    def collect(self) -> None:
         """Find the ends that are proven by the reports of workers who have confirmed our token."""
-        ends: dict[str, ProvenEnds] = {}
+        completions: dict[str, ProvenCompletions] = {}
         for grant in self.coordinator.grants():
-            for machine in self.fleet.all():
-                if machine.unsettled and block_of(machine.zone) == grant.block:
-                    self._ends_on(machine, grant, ends)
+            for machine in self.machine_registry.all():
+                if machine.needs_reconciliation and shard_of(machine.zone) == grant.shard:
+                    self._ends_on(machine, grant, completions)
         unwanted = set()
         leads = self.coordinator.term is not None  # of three that would write the same, two would fail
-        for job in self.book.live():
+        for job in self.job_cache.live():
             if job.cancelled:
-                unwanted.update(claim.machine for claim in job.claims)
-            if leads and not job.claims and (job.cancelled or job.complete):
-                ends.setdefault(job.id, ProvenEnds())  # its final record is missing: cancelled with what it waited for
+                unwanted.update(allocation.machine for allocation in job.allocations)
+            if leads and not job.allocations and (job.cancelled or job.complete):
+                completions.setdefault(
+                    job.id, ProvenCompletions()
+                )  # its final record is missing: cancelled with what it waited for
         self.send(unwanted)
-        for name in [name for name in self.setbacks if self.book.get(name) is None]:
-            del self.setbacks[name]
+        for name in [name for name in self.backoffs if self.job_cache.get(name) is None]:
+            del self.backoffs[name]
         self._resolve_doubts()
-        self.proven = ends
-        self.freed = self._freed(ends)
-        for name in [name for name in self._since if name not in ends]:
+        self.proven = completions
+        self.freed = self._freed(completions)
+        for name in [name for name in self._since if name not in completions]:
             del self._since[name]
 
-    def _freed(self, ends: dict[str, ProvenEnds]) -> dict[str, Amounts]:
+    def _freed(self, completions: dict[str, ProvenCompletions]) -> dict[str, Amounts]:
         found: dict[str, Amounts] = {}
-        for name, end in ends.items():
-            job = self.book.get(name)
+        for name, end in completions.items():
+            job = self.job_cache.get(name)
             if job is not None:
                 cpus, gpus = end.amounts(job.spec)
                 before = found.get(job.spec.team, (0.0, 0.0))
                 found[job.spec.team] = (before[0] + cpus, before[1] + gpus)
         return found
 
-    def of_team(self, team: str) -> list[tuple[Amounts, Edit]]:
+    def edits_of_team(self, team: str) -> list[tuple[Amounts, JobEdit]]:
         """What has ended of a team's jobs, the most first: what it frees, and the edit that records it.
 
         They go ahead of its next claim, in the same transaction if there is room: a team that waits at its limit must
@@ -133,13 +135,13 @@
         """
         found = []
         for name, end in self.proven.items():
-            job = self.book.get(name)
+            job = self.job_cache.get(name)
             if job is not None and job.spec.team == team and end.ended:
-                edit = Edit(name, partial(self.without, end=end), self.conditions(end))
+                edit = JobEdit(name, partial(self.job_without, end=end), self.conditions(end))
                 found.append((end.amounts(job.spec), edit))
         return sorted(found, key=lambda row: (-row[0][0], -row[0][1], row[1].job))
 
-    def record(self) -> None:
+    def record_due(self) -> None:
         """Ends are gathered for a moment: the tasks of an array end one after the other, and each write counts.
 
         Their room is free at once, since it is planned from the workers' reports. A job's last end with us isn't kept
@@ -150,10 +152,10 @@
         # the more jobs there are whose tasks end, the longer they are gathered: other changes need the budget more
         gather_s = max(
             self.gather_s,
-            min(self.settings.lease_s, len(self.proven) / (ENDS_SHARE * self.ledger.mirror.state.writes_per_s)),
+            min(self.settings.lease_s, len(self.proven) / (ENDS_SHARE * self.job_writer.cache.state.writes_per_s)),
         )
         for name, end in self.proven.items():
-            job = self.book.get(name)
+            job = self.job_cache.get(name)
             if job is None:
                 continue
             since = self._since.setdefault(name, now)
@@ -161,41 +163,46 @@
                 job.spec.kind != "array"
                 or now - since >= gather_s
                 or self._is_last(job, end)
-                or (now - since >= self.claim_pause_s and self._at_limit(job.spec))
+                or (now - since >= self.allocation_pause_s and self._at_limit(job.spec))
             ):
-                due.append(Edit(name, partial(self.without, end=end), self.conditions(end)))
+                due.append(JobEdit(name, partial(self.job_without, end=end), self.conditions(end)))
         if due:
-            recorded = self.ledger.change_all(due)
+            recorded = self.job_writer.change_all(due)
             for name in recorded:
                 self._since.pop(name, None)
             log.debug("ends recorded for %s", ", ".join(recorded))
 
-    def conditions(self, end: ProvenEnds) -> dict[str, int]:
+    def conditions(self, end: ProvenCompletions) -> dict[str, int]:
         return dict(self.coordinator.condition(grant) for grant in end.grants)
 
-    def _is_last(self, job: Job, end: ProvenEnds) -> bool:
+    def _is_last(self, job: Job, end: ProvenCompletions) -> bool:
         """Whether nothing of the job is left in our blocks once these ends are recorded."""
         if job.cancelled or job.done | end.done == job.all_tasks:
             return True
-        ours = {grant.block for grant in self.coordinator.grants()}
+        ours = {grant.shard for grant in self.coordinator.grants()}
         return not job.pending and not any(
-            claim.tasks & ~end.ended.get((claim.machine, claim.session, claim.attempt), 0)
-            for claim in job.claims
-            if block_of(claim.zone) in ours
+            allocation.tasks & ~end.ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
+            for allocation in job.allocations
+            if shard_of(allocation.zone) in ours
         )
 
     def _at_limit(self, spec: JobSpec) -> bool:
         team = self.settings.teams.get(spec.team)
-        usage = self.book.team(spec.team, self.coordinator.held_zones())
+        usage = self.job_cache.team(spec.team, self.coordinator.held_zones())
         return team is not None and not team.allows(usage.cpus + spec.cpus, usage.gpus + spec.gpus)
 
-    def without(self, job: Job, _: Usage, end: ProvenEnds) -> Job:
+    def job_without(self, job: Job, _: TeamUsage, end: ProvenCompletions) -> Job:
         new = job.without(end.ended, end.done)
-        if end.done and not job.parts and not self.ledger.sizes.fits(new) and not (new.complete or new.cancelled):
+        if (
+            end.done
+            and not job.chunks
+            and not self.job_writer.record_limits.fits(new)
+            and not (new.complete or new.cancelled)
+        ):
             # the numbers of the done tasks are too scattered for a record: results are kept by the platform, so that
             # a task started again is done at once
             scattered = job.without(end.ended, 0)
-            return new if packed_bytes(new.pack()) <= self.ledger.sizes.value_bytes else scattered
+            return new if packed_bytes(new.pack()) <= self.job_writer.record_limits.value_bytes else scattered
         return new
 
     def _resolve_doubts(self) -> None:
@@ -203,35 +210,35 @@
         puts an end to both. The second only keeps ended tasks from being cleared, so that it can wait."""
         now = time.monotonic()
         for grant in self.coordinator.grants():
-            with self.fleet.lock:
+            with self.machine_registry.lock:
                 doubt = any(
                     token >= grant.token and now - at > self.settings.report_s
-                    for machine in self.fleet.machines.values()
-                    if block_of(machine.zone) == grant.block
-                    for token, at in machine.doubtful.values()
+                    for machine in self.machine_registry.machines.values()
+                    if shard_of(machine.zone) == grant.shard
+                    for token, at in machine.uncertain_starts.values()
                 )
                 long = KEPT_LEASES * self.settings.lease_s
                 kept = now - grant.since > long and any(
                     machine.kept_since is not None and now - machine.kept_since > long
-                    for machine in self.fleet.machines.values()
-                    if block_of(machine.zone) == grant.block
+                    for machine in self.machine_registry.machines.values()
+                    if shard_of(machine.zone) == grant.shard
                 )
             if kept or doubt and now - grant.since > self.settings.report_s:
-                self.coordinator.raise_token(grant)
+                self.coordinator.raise_fencing_token(grant)
 
-    def _ends_on(self, machine: Machine, grant: Grant, ends: dict[str, ProvenEnds]) -> None:
+    def _ends_on(self, machine: Machine, grant: ShardGrant, completions: dict[str, ProvenCompletions]) -> None:
         now = time.monotonic()
-        with self.fleet.lock:
+        with self.machine_registry.lock:
             if machine.token != grant.token:
                 return
-            machine.unsettled = False
-            for job, claim in self.book.on_machine(machine.name):
+            machine.needs_reconciliation = False
+            for job, allocation in self.job_cache.on_machine(machine.name):
                 ended = done = 0
-                if claim.session < machine.session:
-                    ended = claim.tasks  # the worker has begun a later session: it killed and forgot them all
-                elif claim.session == machine.session:
-                    for index in members(claim.tasks):
-                        key = (job.id, index, claim.attempt)
+                if allocation.session < machine.session:
+                    ended = allocation.tasks  # the worker has begun a later session: it killed and forgot them all
+                elif allocation.session == machine.session:
+                    for index in members(allocation.tasks):
+                        key = (job.id, index, allocation.attempt)
                         task = machine.tasks.get(key)
                         if task is None:
                             if self._absent(machine, job, key):
@@ -242,9 +249,9 @@
                                 done |= 1 << index
                             self._observe(machine, job, key, task.why, now)
                 if ended:
-                    machine.unsettled = True  # until the record says so
-                    end = ends.setdefault(job.id, ProvenEnds())
-                    place = (claim.machine, claim.session, claim.attempt)
+                    machine.needs_reconciliation = True  # until the record says so
+                    end = completions.setdefault(job.id, ProvenCompletions())
+                    place = (allocation.machine, allocation.session, allocation.attempt)
                     end.ended[place] = end.ended.get(place, 0) | ended
                     if done and job.spec.kind == "gang":
                         done = job.all_tasks  # a gang's tasks complete together
@@ -267,37 +274,39 @@
             if since is not None and job.spec.kind != "service":
                 self.estimates.observe(job.spec.job_class, job.spec.estimate_s, now - since)
             machine.failures.clear()
-            self.setbacks.pop(job.id, None)
+            self.backoffs.pop(job.id, None)
         elif why == "error" and machine.failures.get(job.id, 0.0) < now - 0.01:
             machine.failures[job.id] = now
             self._set_back(job, machine, now, 0.0 if since is None else now - since)
             log.info("machine %s: %s failed", machine.name, key)
             others = [
-                name for name in machine.failures if name == job.id or self.setbacks.get(name, Setback()).failures < 3
+                name
+                for name in machine.failures
+                if name == job.id or self.backoffs.get(name, RetryBackoff()).failures < 3
             ]
             if len(others) >= 2 and not machine.draining:
                 machine.draining = True
                 log.info("machine %s is set aside: tasks of several jobs fail there", machine.name)
 
     def _set_back(self, job: Job, machine: Machine, now: float, lasted: float) -> None:
-        setback = self.setbacks.setdefault(job.id, Setback())
-        setback.failures += 1
-        setback.lasted = max(setback.lasted, lasted)
-        setback.machines.pop(machine.name, None)
-        setback.machines[machine.name] = now
-        while len(setback.machines) > MOST_MACHINES:
-            del setback.machines[next(iter(setback.machines))]
+        backoff = self.backoffs.setdefault(job.id, RetryBackoff())
+        backoff.failures += 1
+        backoff.lasted = max(backoff.lasted, lasted)
+        backoff.machines.pop(machine.name, None)
+        backoff.machines[machine.name] = now
+        while len(backoff.machines) > MOST_MACHINES:
+            del backoff.machines[next(iter(backoff.machines))]
         # one failure is mostly the machine's; a job that fails again and again is tried ever less often
-        pause = min(8.0, 0.25 * 2.0 ** (setback.failures - 1)) * self.settings.report_s
-        if self.at_fault(job, now):
-            if now < setback.not_before:
+        pause = min(8.0, 0.25 * 2.0 ** (backoff.failures - 1)) * self.settings.report_s
+        if self.is_crash_looping(job, now):
+            if now < backoff.not_before:
                 return  # of the same round: an array's tasks fail together
-            setback.rounds += 1
-            pause = min(LONGEST_PAUSE * self.settings.lease_s, 2.0**setback.rounds * self.settings.report_s)
+            backoff.rounds += 1
+            pause = min(LONGEST_PAUSE * self.settings.lease_s, 2.0**backoff.rounds * self.settings.report_s)
             log.info("job %s fails wherever it is tried: one more try in %.0f s", job.id, pause)
-        setback.not_before = now + pause
+        backoff.not_before = now + pause
 
-    def at_fault(self, job: Job, now: float) -> bool:
+    def is_crash_looping(self, job: Job, now: float) -> bool:
         """Whether a job itself seems to be at fault, rather than machines: submitted with a mistake, it fails on each
         of them until its user cancels it.
 
@@ -305,19 +314,19 @@
         some task of which is done, or runs for longer than the failed ones did, has only met bad machines. Of tasks on
         others' machines we know how long they have been claimed: ends are recorded much sooner than after two leases.
         """
-        setback = self.setbacks.get(job.id, Setback())
-        if job.done or (len(setback.machines) < TRIED_ON and job.id not in self.others_find_at_fault()):
+        backoff = self.backoffs.get(job.id, RetryBackoff())
+        if job.done or (len(backoff.machines) < TRIED_ON and job.id not in self.peers_crash_looping()):
             return False
-        well = 2.0 * (setback.lasted + self.settings.report_s)
-        with self.fleet.lock:
-            for claim in job.claims:
-                machine = self.fleet.machines.get(claim.machine)
+        well = 2.0 * (backoff.lasted + self.settings.report_s)
+        with self.machine_registry.lock:
+            for allocation in job.allocations:
+                machine = self.machine_registry.machines.get(allocation.machine)
                 if machine is None:
-                    if time.time() - claim.at > LONGEST_PAUSE * self.settings.lease_s:
+                    if time.time() - allocation.at > LONGEST_PAUSE * self.settings.lease_s:
                         return False
                 elif any(
-                    now - machine.running_since.get((job.id, index, claim.attempt), now) > well
-                    for index in members(claim.tasks)
+                    now - machine.running_since.get((job.id, index, allocation.attempt), now) > well
+                    for index in members(allocation.tasks)
                 ):
                     return False
         return True
@@ -325,15 +334,15 @@
     def avoided(self, job: Job, now: float) -> frozenset[str]:
         """The machines on which a job that seems to be at fault isn't tried again yet: if it is they that are bad, the
         next one may be good."""
-        setback = self.setbacks.get(job.id)
+        backoff = self.backoffs.get(job.id)
         bound = now - LONGEST_PAUSE * self.settings.lease_s
-        return frozenset(name for name, at in setback.machines.items() if at > bound) if setback else frozenset()
+        return frozenset(name for name, at in backoff.machines.items() if at > bound) if backoff else frozenset()
 
-    def found_at_fault(self) -> list[str]:
+    def crash_looping_jobs(self) -> list[str]:
         """The jobs that we tell the other controllers of: who rents need not be the one whose machines they fail on."""
-        return [name for name, setback in list(self.setbacks.items()) if len(setback.machines) >= TRIED_ON][:MOST_TOLD]
+        return [name for name, backoff in list(self.backoffs.items()) if len(backoff.machines) >= TRIED_ON][:MOST_TOLD]
 
-    def went_with_a_claim(self, name: str) -> None:
+    def recorded_with_allocation(self, name: str) -> None:
         """A job's ends were recorded in the transaction of its next claim."""
         self._since.pop(name, None)
         self.proven.pop(name, None)
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -6,25 +6,32 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.controller.quota.quota_rebalancing import ShareMoves
-from tidebend.controller.records.record_limits import MOST_BYTES, Sizes
-from tidebend.controller.records.record_splitter import Splitting
-from tidebend.controller.records.transaction_builder import Drafts, TooLarge
-from tidebend.kvclient import Conflict, Mirror, NoSuchLease, Refused, Unavailable, Unknown
+from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.records.record_limits import MOST_BYTES, RecordLimits
+from tidebend.controller.records.record_splitter import RecordSplitter
+from tidebend.controller.records.transaction_builder import RecordTooLargeError, TransactionBuilder
+from tidebend.kvclient import (
+    ConflictError,
+    LeaseNotFoundError,
+    NotExecutedError,
+    OutcomeUnknownError,
+    Refused,
+    WatchCache,
+)
 from tidebend.protocol import Write
-from tidebend.quota import QUOTA, TEAM, Amounts, Usage
+from tidebend.quota import QUOTA, TEAM, Amounts, TeamUsage
 
 log = logging.getLogger("ledger")
 
 
 @dataclass
-class Edit:
+class JobEdit:
     """What is to become of one job; `make` gets the job and its team's usage, None: nothing to write."""
 
     job: str
-    make: Callable[[Job, Usage], Job | None]
+    make: Callable[[Job, TeamUsage], Job | None]
     conditions: dict[str, int] = field(default_factory=dict)
 
 
@@ -32,10 +39,10 @@
 class _Batch:
     checks: dict[str, int] = field(default_factory=dict)
     writes: dict[str, Write] = field(default_factory=dict)
-    teams: dict[str, Usage] = field(default_factory=dict)
+    teams: dict[str, TeamUsage] = field(default_factory=dict)
     added: dict[tuple[str, str], Amounts] = field(default_factory=dict)  # team and zone -> more claimed than ended
     jobs: dict[str, Job] = field(default_factory=dict)
-    edits: list[Edit] = field(default_factory=list)
+    edits: list[JobEdit] = field(default_factory=list)
     bytes: int = 0
 
 
@@ -48,40 +55,42 @@
     return {zone: (count * after.spec.cpus, count * after.spec.gpus) for zone, count in tasks.items() if count}
 
 
-class Ledger:
-    def __init__(self, mirror: Mirror, book: JobBook, shares: ShareMoves, sizes: Sizes) -> None:
-        self.mirror = mirror
-        self.book = book
-        self.shares = shares
-        self.sizes = sizes
-        self.drafts = Drafts(book, shares.formats, sizes)
-        self.splitting = Splitting(mirror, book, sizes)
+class JobWriter:
+    def __init__(
+        self, cache: WatchCache, job_cache: JobCache, quota_rebalancer: QuotaRebalancer, record_limits: RecordLimits
+    ) -> None:
+        self.cache = cache
+        self.job_cache = job_cache
+        self.quota_rebalancer = quota_rebalancer
+        self.record_limits = record_limits
+        self.transaction_builder = TransactionBuilder(job_cache, quota_rebalancer.schema_version, record_limits)
+        self.record_splitter = RecordSplitter(cache, job_cache, record_limits)
 
     def change(
-        self, name: str, make: Callable[[Job, Usage], Job | None], conditions: dict[str, int], patience: float = 1.0
+        self, name: str, make: Callable[[Job, TeamUsage], Job | None], conditions: dict[str, int], patience: float = 1.0
     ) -> Job | None:
         """One job's edit; None if there was nothing to write, or a condition failed."""
-        return self.change_all([Edit(name, make, conditions)], patience).get(name)
+        return self.change_all([JobEdit(name, make, conditions)], patience).get(name)
 
-    def change_all(self, edits: list[Edit], patience: float = 1.0, tries: int = 4) -> dict[str, Job]:
+    def change_all(self, edits: list[JobEdit], patience: float = 1.0, tries: int = 4) -> dict[str, Job]:
         """Write what the edits make of their jobs if nothing that they were made from has changed.
 
         A team's record moves by just what its jobs' claims add, in the same transaction. Raises Unavailable or
         Unknown; after Unknown the cache has been brought up to a later read, or that has failed too.
         """
-        self.shares.settle_doubts(patience)
+        self.quota_rebalancer.settle_uncertain_claims(patience)
         changed: dict[str, Job] = {}
         left = list(edits)
-        large: list[Edit] = []
-        most = self.sizes.most_writes
+        large: list[JobEdit] = []
+        most = self.record_limits.most_writes
         while left and tries:
             batch, left = self._gather(left, most, large)
             if not batch.writes:
                 continue
             writes = list(batch.writes.values())
             try:
-                self.mirror.write(batch.checks, writes, patience=patience)
-            except Conflict as conflict:
+                self.cache.write(batch.checks, writes, patience=patience)
+            except ConflictError as conflict:
                 log.debug("conflict over %s", conflict)
                 tries -= 1
                 failed = set(conflict.keys)
@@ -89,8 +98,8 @@
                 # a read, in smaller transactions that have less to collide with
                 left = [edit for edit in batch.edits if not failed & set(edit.conditions)] + left
                 most = max(3, most // 2)
-                if left and not self.mirror.barrier(self.mirror.state.timeout, "claim"):
-                    raise Unavailable("no read after a conflict") from conflict
+                if left and not self.cache.barrier(self.cache.state.timeout, "claim"):
+                    raise NotExecutedError("no read after a conflict") from conflict
                 continue
             except Refused:
                 # the state service takes less than we were told: one at a time; what is too large by itself must wait
@@ -99,17 +108,17 @@
                     left = batch.edits + left
                     most = 1
                 continue
-            except Unknown:
+            except OutcomeUnknownError:
                 # may have happened, or may still: a read shows which, and a later arrival fails on its conditions
-                self.shares.in_doubt({team for team, _ in batch.added})
-                self.mirror.barrier(self.mirror.state.timeout, "claim")
+                self.quota_rebalancer.mark_uncertain({team for team, _ in batch.added})
+                self.cache.barrier(self.cache.state.timeout, "claim")
                 raise
-            except NoSuchLease as error:
-                raise Unavailable("no such lease") from error
+            except LeaseNotFoundError as error:
+                raise NotExecutedError("no such lease") from error
             changed.update(batch.jobs)
         for edit in large:
             try:
-                split = bool(tries) and self.splitting.split(edit.job, patience)
+                split = bool(tries) and self.record_splitter.split(edit.job, patience)
             except Refused:
                 # guards the others' changes: a description that is itself too long, taken when records were larger
                 log.error("job %s: not even its description fits a record now", edit.job)
@@ -118,24 +127,24 @@
                 changed.update(self.change_all([edit], patience, tries))
         return changed
 
-    def _gather(self, edits: list[Edit], most: int, large: list[Edit]) -> tuple[_Batch, list[Edit]]:
+    def _gather(self, edits: list[JobEdit], most: int, large: list[JobEdit]) -> tuple[_Batch, list[JobEdit]]:
         """As many edits as one transaction holds, and the rest."""
         batch = _Batch()
-        zones = self.shares.held()
+        zones = self.quota_rebalancer.held()
         for number, edit in enumerate(edits):
-            with self.book.lock:
-                job = self.book.get(edit.job)
+            with self.job_cache.lock:
+                job = self.job_cache.get(edit.job)
                 if job is None or edit.job in batch.jobs:
                     continue
                 team = job.spec.team
-                usage = batch.teams.get(team) or self.book.team(team, zones)
+                usage = batch.teams.get(team) or self.job_cache.team(team, zones)
             new = edit.make(job, usage)
             if new is None:
                 continue
             try:
-                draft = self.drafts.draft(job, new, usage)
-            except TooLarge:
-                if self.sizes.can_be_split(job):
+                draft = self.transaction_builder.draft(job, new, usage)
+            except RecordTooLargeError:
+                if self.record_limits.can_be_split(job):
                     large.append(edit)
                 else:
                     log.error("job %s: its record would be too long", edit.job)
@@ -148,7 +157,7 @@
             added = _added(job, draft.job)
             if usage.shares:
                 charged = False
-                quota = self.shares.for_claim(
+                quota = self.quota_rebalancer.for_allocation(
                     team, usage.shares, batch.added, batch.writes.get(QUOTA + team), added, zones
                 )
                 if quota is None:
@@ -160,7 +169,7 @@
                 writes.append((TEAM + team, draft.usage.pack(), None))
             if batch.writes and (
                 len({*batch.writes, *(key for key, _, _ in writes)}) > most
-                or len(batch.checks.keys() | checks.keys()) > self.sizes.most_checks
+                or len(batch.checks.keys() | checks.keys()) > self.record_limits.most_checks
                 or batch.bytes + draft.bytes > MOST_BYTES
                 or any(batch.checks.get(key, version) != version for key, version in checks.items())
             ):
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.record_chunks import Parts, part_size
-from tidebend.coordination.schema_version import Formats
+from tidebend.cluster_state.record_chunks import ChunkIndex, chunk_size
+from tidebend.coordination.schema_version import SchemaVersion
 from tidebend.settings import Limits
 
 # a transaction's bytes stay this far below the protocol's 64 KiB: keys, conditions and punctuation come on top
@@ -21,9 +21,9 @@
     return len(json.dumps(value, separators=(",", ":")))
 
 
-class Sizes:
-    def __init__(self, limits: Limits, formats: Formats, writes_per_s: float) -> None:
-        self.formats = formats
+class RecordLimits:
+    def __init__(self, limits: Limits, schema_version: SchemaVersion, writes_per_s: float) -> None:
+        self.schema_version = schema_version
         self.keep_within(limits, writes_per_s)
 
     def keep_within(self, limits: Limits, writes_per_s: float) -> None:
@@ -37,35 +37,35 @@
     def can_be_split(self, job: Job) -> bool:
         """Whether a record may become a head with parts; a gang, which starts whole, only if it must."""
         return (
-            self.formats.pipelines
-            and job.parts is None
-            and job.spec.tasks > (part_size(self.value_bytes) if job.spec.kind == "gang" else 1)
+            self.schema_version.pipelines
+            and job.chunks is None
+            and job.spec.tasks > (chunk_size(self.value_bytes) if job.spec.kind == "gang" else 1)
         )
 
     def fits(self, job: Job, before: Job | None = None) -> bool:
         """Whether records with these claims leave room for what is still to come; `before`: what it was made from."""
-        if job.parts and before is not None:
-            sizes = [
-                packed_bytes(job.part_of(number, before).pack(number * job.parts.size))
+        if job.chunks and before is not None:
+            record_limits = [
+                packed_bytes(job.chunk_of(number, before).pack(number * job.chunks.size))
                 for number in job.touched(before)
             ]
-            return max(sizes, default=0) <= CLAIMS_SHARE * self.value_bytes
+            return max(record_limits, default=0) <= CLAIMS_SHARE * self.value_bytes
         return self.can_be_split(job) or packed_bytes(job.pack()) <= CLAIMS_SHARE * self.value_bytes
 
     def new_job(self, job: Job) -> Job:
         """A job in the shape in which it will be kept."""
-        size = part_size(self.value_bytes)
-        return replace(job, parts=Parts(size)) if self.formats.pipelines and job.spec.tasks > size else job
+        size = chunk_size(self.value_bytes)
+        return replace(job, chunks=ChunkIndex(size)) if self.schema_version.pipelines and job.spec.tasks > size else job
 
     def never_fits(self, job: Job) -> str | None:
         """Why a job can't be kept or started with records as large as they may be, if it can't."""
         if packed_bytes(job.pack()) > 0.5 * self.value_bytes:
             return "its description is too long for a record"
-        if job.parts:
-            parts = -(-job.spec.tasks // job.parts.size)
+        if job.chunks:
+            chunks = -(-job.spec.tasks // job.chunks.size)
             # a gang's start writes all its parts, the head and the team's record; a service's compares all parts
-            if job.spec.kind == "gang" and parts > self.most_writes - 2:
+            if job.spec.kind == "gang" and chunks > self.most_writes - 2:
                 return "more tasks than can be started at once"
-            if job.spec.kind == "service" and parts > self.most_checks - 4:
+            if job.spec.kind == "service" and chunks > self.most_checks - 4:
                 return "more replicas than can be kept"
         return None
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -5,41 +5,41 @@
 import math
 from collections.abc import Callable
 
-from tidebend.cluster_state.allocations import Claim
-from tidebend.cluster_state.job_cache import JobBook
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Fleet, Machine
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.controller.records.completions import Key
-from tidebend.controller.scheduler.run_time_estimates import Estimates
-from tidebend.coordination import Coordinator, Grant, block_of
+from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
+from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.protocol import MachineType
-from tidebend.scheduling import Amount, Place, Timeline, need_of
+from tidebend.scheduling import Amount, CandidateMachine, Timeline, need_of
 from tidebend.settings import Settings
 
-Found = dict[str, tuple[Place, Machine, Grant]]
+Found = dict[str, tuple[CandidateMachine, Machine, ShardGrant]]
 
 
-class Places:
+class FreeCapacity:
     def __init__(
         self,
         settings: Settings,
         coordinator: Coordinator,
-        book: JobBook,
-        fleet: Fleet,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
         types: Callable[[], dict[str, MachineType]],
-        estimates: Estimates,
+        estimates: RunTimeEstimates,
     ) -> None:
         self.settings = settings
         self.coordinator = coordinator
-        self.book = book
-        self.fleet = fleet
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
         self.types = types
         self.estimates = estimates
         self.suspect_s = max(2.2 * settings.report_s, settings.lease_s * settings.knobs.suspect_after)
 
     def silent(self, machine: Machine, now: float) -> bool:
-        return now - machine.heard > self.suspect_s
+        return now - machine.last_heartbeat > self.suspect_s
 
     def _remaining(
         self,
@@ -49,7 +49,7 @@
         kind: MachineType,
         now: float,
         clock: float,
-        claim: Claim,
+        allocation: Allocation,
         estimate: float,
     ) -> float:
         if job.spec.kind == "service":
@@ -62,7 +62,7 @@
             left = estimate + self.settings.gang_wait_s
         else:
             fetch = 0.0 if job.spec.image in machine.images else kind.fetch_s(job.spec.image_gb)
-            left = estimate + max(0.0, fetch - (clock - claim.at))
+            left = estimate + max(0.0, fetch - (clock - allocation.at))
         # an overrunning task is seen at each event anew, and planned around
         return max(left, 0.1 * estimate, self.settings.report_s)
 
@@ -70,40 +70,42 @@
         types = self.types()
         found = {}
         for grant in self.coordinator.grants():
-            for machine in self.fleet.all():
+            for machine in self.machine_registry.all():
                 kind = types.get(machine.type)
-                if kind is None or block_of(machine.zone) != grant.block:
+                if kind is None or shard_of(machine.zone) != grant.shard:
                     continue
-                with self.fleet.lock:
+                with self.machine_registry.lock:
                     place = self._place(machine, kind, grant, now, clock)
                 if place is not None:
                     found[machine.name] = (place, machine, grant)
         return found
 
-    def _place(self, machine: Machine, kind: MachineType, grant: Grant, now: float, clock: float) -> Place | None:
-        held = self.book.on_machine(machine.name)
+    def _place(
+        self, machine: Machine, kind: MachineType, grant: ShardGrant, now: float, clock: float
+    ) -> CandidateMachine | None:
+        held = self.job_cache.on_machine(machine.name)
         if machine.token != grant.token or machine.draining or machine.releasing or self.silent(machine, now):
             return None
         # ends are rounded up to a report's interval: they are known no better, and the timeline has fewer steps
         step = self.settings.report_s
-        ends: dict[float, Amount] = {}
+        completions: dict[float, Amount] = {}
         fetching = set()
-        for job, claim in held:
+        for job, allocation in held:
             need = need_of(job.spec)
             estimate = self.estimates.corrected(job.spec)
             there = False
-            for index in members(claim.tasks):
-                key = (job.id, index, claim.attempt)
+            for index in members(allocation.tasks):
+                key = (job.id, index, allocation.attempt)
                 task = machine.tasks.get(key)
-                if task is not None and task.state == "ended" and claim.session == machine.session:
+                if task is not None and task.state == "ended" and allocation.session == machine.session:
                     there = True
                     continue  # its room is free; that its record doesn't say so yet keeps nobody waiting
-                left = self._remaining(machine, job, key, kind, now, clock, claim, estimate)
+                left = self._remaining(machine, job, key, kind, now, clock, allocation, estimate)
                 if key in machine.stops:
                     left = machine.stops[key] + self.settings.report_s
                 end = left if left == math.inf else math.ceil(left / step) * step
-                taken = ends.get(end, (0.0, 0.0, 0.0))
-                ends[end] = (taken[0] + need[0], taken[1] + need[1], taken[2] + need[2])
+                taken = completions.get(end, (0.0, 0.0, 0.0))
+                completions[end] = (taken[0] + need[0], taken[1] + need[1], taken[2] + need[2])
                 if task is None or task.state == "fetching":
                     fetching.add(job.spec.image)
                 else:
@@ -111,9 +113,11 @@
             if there:
                 machine.uses_image(job.spec.image, job.spec.image_gb, kind.cache_gb)
         timeline = Timeline(now, (kind.cpus, kind.gpus, kind.memory_gb))
-        for end, taken in ends.items():
+        for end, taken in completions.items():
             timeline.take(now, now + end, taken)
-        place = Place(machine.name, kind, machine.zone, machine.spot, timeline, set(machine.images), len(fetching))
+        place = CandidateMachine(
+            machine.name, kind, machine.zone, machine.spot, timeline, set(machine.images), len(fetching)
+        )
         if machine.notice_at is not None:
             place.until = machine.notice_at
         return place
--- a/tidebend/controller/scheduler/run_time_estimates.py
+++ b/tidebend/controller/scheduler/run_time_estimates.py
@@ -7,7 +7,7 @@
 from tidebend.protocol import JobSpec
 
 
-class Estimates:
+class RunTimeEstimates:
     """Owners' estimates corrected per class by what finished tasks took (a moving geometric mean)."""
 
     WEIGHT = 0.15
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -9,24 +9,24 @@
 from collections.abc import Callable
 from functools import partial
 
-from tidebend.cluster_state.job_cache import JobBook
-from tidebend.cluster_state.machine_registry import Fleet
-from tidebend.controller.quota.quota_rebalancing import ShareMoves
-from tidebend.controller.quota.quota_release import Reclaims
-from tidebend.controller.records.completions import Ends
-from tidebend.controller.records.job_writer import Ledger
-from tidebend.controller.scheduler.allocator import Claims
-from tidebend.controller.scheduler.free_capacity import Places
-from tidebend.controller.scheduler.pending_jobs import Waiting
-from tidebend.controller.scheduler.preemption import Room
-from tidebend.controller.scheduler.run_time_estimates import Estimates
-from tidebend.controller.scheduler.staggered_claims import Turns, order_of
-from tidebend.coordination import Coordinator, block_of, zone_of
-from tidebend.kvclient import Conflict, Unavailable, Unknown
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.machine_registry import MachineRegistry
+from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.quota.quota_release import QuotaReleaser
+from tidebend.controller.records.completions import CompletionTracker
+from tidebend.controller.records.job_writer import JobWriter
+from tidebend.controller.scheduler.allocator import Allocator
+from tidebend.controller.scheduler.free_capacity import FreeCapacity
+from tidebend.controller.scheduler.pending_jobs import PendingJobs
+from tidebend.controller.scheduler.preemption import Preemptor
+from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
+from tidebend.controller.scheduler.staggered_claims import ClaimStagger, order_of
+from tidebend.coordination import Coordinator, shard_of, zone_of
+from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError
 from tidebend.protocol import MachineType
-from tidebend.scheduling import Place, Placement, Want, allowed_on, map_tasks, need_of, times_fit
+from tidebend.scheduling import CandidateMachine, Placement, TaskRequest, allowed_on, map_tasks, need_of, times_fit
 from tidebend.settings import Settings
-from tidebend.zone_failover import part_of
+from tidebend.zone_failover import share_of_tasks
 
 log = logging.getLogger("planner")
 
@@ -34,33 +34,37 @@
 REST = 12.0
 
 
-class Planner:
+class SchedulingLoop:
     def __init__(
         self,
         settings: Settings,
         coordinator: Coordinator,
-        book: JobBook,
-        fleet: Fleet,
-        ledger: Ledger,
-        shares: ShareMoves,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
+        job_writer: JobWriter,
+        quota_rebalancer: QuotaRebalancer,
         types: Callable[[], dict[str, MachineType]],
         send: Callable[[set[str]], None],
     ) -> None:
         self.settings = settings
         self.coordinator = coordinator
-        self.book = book
-        self.shares = shares
+        self.job_cache = job_cache
+        self.quota_rebalancer = quota_rebalancer
         self.send = send
-        self.estimates = Estimates()
-        self.ends = Ends(settings, coordinator, book, fleet, ledger, self.estimates, send)
-        self.places = Places(settings, coordinator, book, fleet, types, self.estimates)
-        self.waiting = Waiting(settings, coordinator, book, fleet, types, self.estimates, self.ends)
-        self.turns = Turns(settings)
-        self.claims = Claims(settings, coordinator, ledger, self.ends, self.waiting, send)
-        self.reclaims = Reclaims(settings, book, shares, self.ends)
-        self.room = Room(settings, coordinator, book, fleet, self.turns, send)
+        self.estimates = RunTimeEstimates()
+        self.completions = CompletionTracker(
+            settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send
+        )
+        self.free_capacity = FreeCapacity(settings, coordinator, job_cache, machine_registry, types, self.estimates)
+        self.pending_jobs = PendingJobs(
+            settings, coordinator, job_cache, machine_registry, types, self.estimates, self.completions
+        )
+        self.claim_stagger = ClaimStagger(settings)
+        self.allocator = Allocator(settings, coordinator, job_writer, self.completions, self.pending_jobs, send)
+        self.quota_releaser = QuotaReleaser(settings, job_cache, quota_rebalancer, self.completions)
+        self.preemptor = Preemptor(settings, coordinator, job_cache, machine_registry, self.claim_stagger, send)
         self.event = threading.Event()
-        self.look_up: Callable[[list[str], str], None] = lambda names, kind: None
+        self.look_up_finals: Callable[[list[str], str], None] = lambda names, kind: None
         self._rest_until = 0.0  # steady time
 
     def start(self) -> None:
@@ -76,7 +80,7 @@
             self.event.clear()
             try:
                 self.mapping_event()
-            except (Unavailable, Unknown) as error:
+            except (NotExecutedError, OutcomeUnknownError) as error:
                 log.info("planner: %s", error)
                 time.sleep(pause)
             except Exception:
@@ -90,14 +94,14 @@
         Planning rests for longer the longer it takes, on a large block or a slow processor, lest it starve the
         answers to workers and users. Ends don't rest with it: users expect to hear of them.
         """
-        unresolved = self.book.unresolved()
+        unresolved = self.job_cache.unresolved()
         if unresolved:
-            with contextlib.suppress(Unavailable, Unknown):
-                self.look_up(unresolved, "claim")
-        self.ends.settle()
+            with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
+                self.look_up_finals(unresolved, "claim")
+        self.completions.collect()
         if self.coordinator.term is not None:
-            with contextlib.suppress(Conflict):
-                self.shares.share_out()
+            with contextlib.suppress(ConflictError):
+                self.quota_rebalancer.establish_shares()
         try:
             began = time.monotonic()
             if began >= self._rest_until:
@@ -105,83 +109,87 @@
                 ended = time.monotonic()
                 self._rest_until = ended + min(REST * (ended - began), 0.2 * self.settings.lease_s)
         finally:
-            self.ends.record()
+            self.completions.record_due()
 
     def plan(self) -> None:
         now, clock = time.monotonic(), time.time()
         if not self.coordinator.lease_valid:
             return
-        jobs = {job.id: job for job in self.book.live() if job.pending}
-        for name in self.turns.keep(jobs):
-            self.room.forget(name)
-            self.claims.at.pop(name, None)
+        jobs = {job.id: job for job in self.job_cache.live() if job.pending}
+        for name in self.claim_stagger.keep(jobs):
+            self.preemptor.forget(name)
+            self.allocator.last_allocation.pop(name, None)
         # also while none of our machines can be used: shares of a zone that is cut off lie with whoever took its block
-        self.reclaims.look(jobs.values(), now)
+        self.quota_releaser.look(jobs.values(), now)
         moving = self._moving(now, clock)
-        places = self.places.all(now, clock) if jobs or moving else None
+        places = self.free_capacity.all(now, clock) if jobs or moving else None
         if not places:
             return
-        at_hand: dict[str, list[Place]] = {}
+        at_hand: dict[str, list[CandidateMachine]] = {}
         for place, _, _ in places.values():
             for image in place.images:
                 at_hand.setdefault(image, []).append(place)
             # values are of the time of day, and so are the slots
             place.timeline.times = [time_ - now + clock for time_ in place.timeline.times]
             place.until += clock - now
-        self.waiting.weigh()
-        blocks = sorted(self.coordinator.table())
-        wants = []
-        mine = {block_of(place.zone) for place, _, _ in places.values()}
+        self.pending_jobs.weigh()
+        shards = sorted(self.coordinator.table())
+        requests = []
+        mine = {shard_of(place.zone) for place, _, _ in places.values()}
         held = self.coordinator.held_zones()
         for job in jobs.values():
-            want = self.waiting.want(job, now, clock, held)
-            if want is None:
+            request = self.pending_jobs.request(job, now, clock, held)
+            if request is None:
                 continue
             need = need_of(job.spec)
             fetched = any(
-                times_fit(place.timeline.free[0], need) and allowed_on(want, place)
+                times_fit(place.timeline.free[0], need) and allowed_on(request, place)
                 for place in at_hand.get(job.spec.image, ())
             )
-            turn = min((self.turns.until(job, block, blocks, now, int(not fetched)) for block in mine), default=0.0)
-            if job.spec.kind == "array" and job.id in self.claims.at:
-                turn = max(turn, self.claims.at[job.id] + self.ends.claim_pause_s - now)
+            turn = min(
+                (self.claim_stagger.until(job, shard, shards, now, int(not fetched)) for shard in mine), default=0.0
+            )
+            if job.spec.kind == "array" and job.id in self.allocator.last_allocation:
+                turn = max(turn, self.allocator.last_allocation[job.id] + self.completions.allocation_pause_s - now)
             if turn > 0:
-                want.not_before = max(want.not_before, clock + turn)
-            wants.append(want)
-        longest = max((want.estimate for want in wants), default=0.0)
+                request.not_before = max(request.not_before, clock + turn)
+            requests.append(request)
+        longest = max((request.estimate for request in requests), default=0.0)
         horizon = self.settings.knobs.horizon * longest
         placements = map_tasks(
-            wants + moving,
+            requests + moving,
             [place for place, _, _ in places.values()],
             clock,
             horizon,
-            self.waiting.owed({want.spec.team for want in wants}),
+            self.pending_jobs.owed({request.spec.team for request in requests}),
         )
         chosen: dict[str, list[Placement]] = {}
         for placement in placements:
             if placement.now:
                 chosen.setdefault(placement.job, []).append(placement)
-        self.claims.claim(chosen, places)
-        self.room.make([want for want in wants if want.waiting > 0], places, now, clock)
+        self.allocator.allocate(chosen, places)
+        self.preemptor.make([request for request in requests if request.waiting > 0], places, now, clock)
 
-    def _moving(self, now: float, clock: float) -> list[Want]:
+    def _moving(self, now: float, clock: float) -> list[TaskRequest]:
         """Replicas that will have to leave lost zones and for which it falls to our blocks to hold room.
 
         Guards against services that are missed all at once when a cut lasts: they leave in turns, to room that is
         ready.
         """
-        lost = self.coordinator.lost_zones()
-        blocks = sorted(block for block in self.coordinator.table() if zone_of(block) not in lost)
-        if not lost or not blocks:
+        lost = self.coordinator.unreachable_zones()
+        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost)
+        if not lost or not shards:
             return []
-        mine = {grant.block for grant in self.coordinator.grants()}
+        mine = {grant.shard for grant in self.coordinator.grants()}
         found = []
-        for job in self.book.live():
+        for job in self.job_cache.live():
             if job.spec.kind != "service":
                 continue
-            order = order_of(job.id, blocks)
-            numbers = [order.index(block) for block in blocks if block in mine]
-            want = self.waiting.moving(job, lost, partial(part_of, numbers=numbers, of=len(blocks)), now, clock)
-            if want is not None:
-                found.append(want)
+            order = order_of(job.id, shards)
+            numbers = [order.index(shard) for shard in shards if shard in mine]
+            request = self.pending_jobs.moving(
+                job, lost, partial(share_of_tasks, numbers=numbers, of=len(shards)), now, clock
+            )
+            if request is not None:
+                found.append(request)
         return found
--- a/tidebend/controller/scheduler/staggered_claims.py
+++ b/tidebend/controller/scheduler/staggered_claims.py
@@ -8,12 +8,12 @@
 from tidebend.settings import Settings
 
 
-def order_of(job: str, blocks: list[str]) -> list[str]:
+def order_of(job: str, shards: list[str]) -> list[str]:
     """The order in which blocks take their turns at a job: the same for every holder, another for each job."""
-    return sorted(blocks, key=lambda block: zlib.crc32(f"{job}/{block}".encode()))
+    return sorted(shards, key=lambda shard: zlib.crc32(f"{job}/{shard}".encode()))
 
 
-class Turns:
+class ClaimStagger:
     def __init__(self, settings: Settings) -> None:
         self.turn_s = 0.1 * settings.report_s
         self._since: dict[str, tuple[int, float]] = {}  # job -> (pending bitmap, steady time)
@@ -30,7 +30,7 @@
         seen = self._since.get(name)
         return seen[1] if seen else None
 
-    def until(self, job: Job, block: str, blocks: list[str], now: float, round_: int) -> float:
+    def until(self, job: Job, shard: str, shards: list[str], now: float, round_: int) -> float:
         """Seconds until this block may take a job's tasks: holders take turns, so as not to collide.
 
         Blocks with the job's image at hand take theirs in a round before the others: a fetch takes longer.
@@ -40,7 +40,7 @@
         if seen is None or seen[0] != pending:
             seen = (pending, now if seen is None else seen[1])
             self._since[job.id] = seen
-        order = order_of(job.id, blocks)
-        if block not in order or len(order) == 1:
+        order = order_of(job.id, shards)
+        if shard not in order or len(order) == 1:
             return 0.0  # nobody to collide with
-        return seen[1] + (order.index(block) + round_ * len(order)) * self.turn_s - now
+        return seen[1] + (order.index(shard) + round_ * len(order)) * self.turn_s - now
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 
 from tidebend import protocol
-from tidebend.cluster_state.job_cache import JobBook
-from tidebend.cluster_state.machine_registry import Fleet, cancelled_stops, orders
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.machine_registry import MachineRegistry, cancelled_stops, commands_for
 from tidebend.controller import connection_limits
-from tidebend.controller.api.job_api import parse_body, unsure
-from tidebend.coordination import Coordinator, Grant, PeerLink, block_of
-from tidebend.kvclient import Mirror
+from tidebend.controller.api.job_api import parse_body, unavailable_reply
+from tidebend.coordination import Coordinator, PeerExchange, ShardGrant, shard_of
+from tidebend.kvclient import WatchCache
 from tidebend.protocol import Invalid, Report
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, NoAnswer, Reply, Unreachable
@@ -32,22 +32,22 @@
 _Row = tuple[str, str, tuple[str, int], int]  # machine, zone, address, session
 
 
-class Workers:
+class HeartbeatHandler:
     def __init__(
         self,
         settings: Settings,
-        mirror: Mirror,
-        book: JobBook,
-        fleet: Fleet,
+        cache: WatchCache,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
         coordinator: Coordinator,
         wake: Callable[[], None],
-        came: Callable[[str], None],
+        record_report: Callable[[str], None],
     ) -> None:
         self.settings = settings
-        self.came = came
-        self.mirror = mirror
-        self.book = book
-        self.fleet = fleet
+        self.record_report = record_report
+        self.cache = cache
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
         self.coordinator = coordinator
         self.wake = wake
         self._newest: OrderedDict[str, tuple[int, int]] = OrderedDict()  # machine -> session and sequence
@@ -72,8 +72,8 @@
         """What the body alone doesn't show: a zone that there isn't, a machine that has become another."""
         if report.zone not in self.settings.zones:
             raise Invalid(f"harbor: expected one of {', '.join(self.settings.zones)}")
-        with self.fleet.lock:
-            known = self.fleet.machines.get(report.machine)
+        with self.machine_registry.lock:
+            known = self.machine_registry.machines.get(report.machine)
         if known is not None and (known.type, known.zone, known.spot) != (report.type, report.zone, report.spot):
             raise Invalid(f"vessel: {report.machine} is a {known.type} in {known.zone}{' (spot)' * known.spot}")
 
@@ -84,45 +84,45 @@
         except Invalid as error:
             log.info("a report is refused: %s", error)
             return Reply(400, {"error": str(error)})
-        block = block_of(report.zone)
+        shard = shard_of(report.zone)
         if self._is_news(report):
-            self.came(block)
-        grant = self.coordinator.grant(block)
+            self.record_report(shard)
+        grant = self.coordinator.grant(shard)
         if grant is not None and report.token > grant.token:
-            self.coordinator.deposed(block, report.token)
+            self.coordinator.observe_higher_token(shard, report.token)
             grant = None
         if grant is None:
-            holder = self.coordinator.holder(block)
+            holder = self.coordinator.holder(shard)
             if holder is None or holder == self.settings.name:
-                return unsure("no holder")
+                return unavailable_reply("no holder")
             return Reply(421, protocol.report_elsewhere(holder))
         # Bounded staleness: somebody may have been told since our last read that a job is cancelled, whose tasks an
         # answer would keep alive. What the report says is taken over all the same. Guards a fleet that reported
         # throughout and was given back for its silence as soon as the state service was there again.
-        stale = self.mirror.age_s > self.settings.staleness_bound_s
-        with self.fleet.lock:
-            before = self.fleet.machines.get(report.machine)
+        stale = self.cache.age_s > self.settings.staleness_bound_s
+        with self.machine_registry.lock:
+            before = self.machine_registry.machines.get(report.machine)
             seen = {key: task.state for key, task in before.tasks.items()} if before else None
-            machine = self.fleet.heard(report, token=0 if stale else grant.token)
+            machine = self.machine_registry.record_heartbeat(report, token=0 if stale else grant.token)
             if machine is None:
-                return unsure("a late report")
+                return unavailable_reply("a late report")
             changed = seen != {key: task.state for key, task in machine.tasks.items()}
             commands = []
             if not stale:
-                claims = self.book.on_machine(machine.name)
+                allocations = self.job_cache.on_machine(machine.name)
                 commands = (
-                    orders(machine, claims, grant.token, direct=False)
+                    commands_for(machine, allocations, grant.token, direct=False)
                     if self.coordinator.lease_valid
-                    else cancelled_stops(machine, claims)
+                    else cancelled_stops(machine, allocations)
                 )[:MOST_COMMANDS]
         if changed:
             self.wake()
         if stale:
-            return unsure("the last read of the state service is too old")
+            return unavailable_reply("the last read of the state service is too old")
         return Reply(200, protocol.report_answer(grant.token, commands))
 
 
-class Dispatcher:
+class CommandDispatcher:
     """Direct commands: starts and stops reach a worker at once, not only with its next report."""
 
     THREADS = 3
@@ -130,18 +130,18 @@
     def __init__(
         self,
         settings: Settings,
-        book: JobBook,
-        fleet: Fleet,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
         wake: Callable[[], None],
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
         self.settings = settings
-        self.book = book
-        self.fleet = fleet
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
         self.wake = wake
         self._connect = connect
         self.coordinator: Coordinator
-        self.link: PeerLink
+        self.peer_exchange: PeerExchange
         # Guards against commands for healthy machines that wait behind time-outs: when a zone is cut, dozens of
         # machines are silent at a time.
         self._healthy: queue.Queue[_Row] = queue.Queue()
@@ -159,12 +159,15 @@
     def send(self, names: set[str]) -> None:
         """Have the recorded claims and stops of these machines carried out."""
         for name in sorted(names):
-            with self.fleet.lock:
-                machine = self.fleet.machines.get(name)
+            with self.machine_registry.lock:
+                machine = self.machine_registry.machines.get(name)
                 if machine is None or machine.address is None:
                     continue
                 row = (name, machine.zone, machine.address, machine.session)
-                silent = time.monotonic() - max(machine.heard, machine.answered) > 2.0 * self.settings.report_s
+                silent = (
+                    time.monotonic() - max(machine.last_heartbeat, machine.last_direct_answer)
+                    > 2.0 * self.settings.report_s
+                )
             self._put(row, self._silent if silent else self._healthy)
 
     def _put(self, row: _Row, rows: queue.Queue[_Row]) -> None:
@@ -174,16 +177,16 @@
             self._queued.add(row[0])
         rows.put_nowait(row)
 
-    def took_up(self, grant: Grant) -> None:
+    def on_shard_acquired(self, grant: ShardGrant) -> None:
         """A block has become ours: let the workers that peers and we ourselves know there learn the token."""
         rows = {
             m.name: (m.name, m.zone, m.address, m.session)
-            for m in self.fleet.all()
-            if block_of(m.zone) == grant.block and m.address is not None
+            for m in self.machine_registry.all()
+            if shard_of(m.zone) == grant.shard and m.address is not None
         }
-        for peer in self.link.peers.values():
+        for peer in self.peer_exchange.peers.values():
             for name, _, zone, _, released, host, port, session in peer.machines or ():
-                if not released and block_of(zone) == grant.block and host:
+                if not released and shard_of(zone) == grant.shard and host:
                     rows.setdefault(name, (name, zone, (host, port), session))
         for row in rows.values():
             self._put(row, self._silent)  # whether they can be reached from here is what we want to know
@@ -195,7 +198,7 @@
             except Exception:
                 log.exception("direct commands")
 
-    def deliver_next(self) -> bool:
+    def send_next(self) -> bool:
         """Without threads of its own; False if there was nothing to send."""
         for rows in (self._healthy, self._silent):
             with contextlib.suppress(queue.Empty):
@@ -218,22 +221,24 @@
         self._deliver(name, zone, session, client)
 
     def _deliver(self, name: str, zone: str, session: int, client: HttpClient) -> None:
-        grant = self.coordinator.grant(block_of(zone))
+        grant = self.coordinator.grant(shard_of(zone))
         if grant is None:
             return
         valid = self.coordinator.lease_valid
-        with self.fleet.lock:
-            machine = self.fleet.machines.get(name)
+        with self.machine_registry.lock:
+            machine = self.machine_registry.machines.get(name)
             commands = []
             silent = False
             if machine is not None:
                 session = machine.session
-                claims = self.book.on_machine(name)
+                allocations = self.job_cache.on_machine(name)
                 if machine.token <= grant.token:
                     commands = (
-                        orders(machine, claims, grant.token, direct=True) if valid else cancelled_stops(machine, claims)
+                        commands_for(machine, allocations, grant.token, direct=True)
+                        if valid
+                        else cancelled_stops(machine, allocations)
                     )[:MOST_COMMANDS]
-                silent = time.monotonic() - machine.heard > 2.0 * self.settings.report_s
+                silent = time.monotonic() - machine.last_heartbeat > 2.0 * self.settings.report_s
             # without a lease nothing but those stops goes out, not even our token
             if not commands and (not valid or machine is not None and machine.token >= grant.token and not silent):
                 return
@@ -255,16 +260,16 @@
         except Invalid as error:
             log.error("machine %s: unexpected answer: %s", name, error)
             return
-        with self.fleet.lock:
-            machine = self.fleet.heard(report, direct=True)
+        with self.machine_registry.lock:
+            machine = self.machine_registry.record_heartbeat(report, direct=True)
         self._settled(name, mine, grant.token)
         if machine is not None:
             self.wake()
 
     def _settled(self, name: str, starts: set[tuple[str, int, int]], token: int) -> None:
         """The outcome of these starts is known: carried out or never."""
-        with self.fleet.lock:
-            machine = self.fleet.machines.get(name)
+        with self.machine_registry.lock:
+            machine = self.machine_registry.machines.get(name)
             for key in starts if machine else ():
-                if machine.doubtful.get(key, (0, 0.0))[0] == token:
-                    del machine.doubtful[key]
+                if machine.uncertain_starts.get(key, (0, 0.0))[0] == token:
+                    del machine.uncertain_starts[key]
--- a/tidebend/coordination/__init__.py
+++ b/tidebend/coordination/__init__.py
@@ -1,7 +1,18 @@
 """Membership, leadership, blocks and their tokens, and what controllers tell each other."""
 
-from tidebend.coordination.coordinator import BLOCK, FAILURES, LEADER, NODE, Coordinator
-from tidebend.coordination.peer_exchange import PeerLink, PeerNews
-from tidebend.coordination.shards import Grant, block_of, zone_of
+from tidebend.coordination.coordinator import FAILURES, LEADER, NODE, SHARD, Coordinator
+from tidebend.coordination.peer_exchange import PeerExchange, PeerState
+from tidebend.coordination.shards import ShardGrant, shard_of, zone_of
 
-__all__ = ["BLOCK", "FAILURES", "LEADER", "NODE", "Coordinator", "Grant", "PeerLink", "PeerNews", "block_of", "zone_of"]
+__all__ = [
+    "SHARD",
+    "FAILURES",
+    "LEADER",
+    "NODE",
+    "Coordinator",
+    "ShardGrant",
+    "PeerExchange",
+    "PeerState",
+    "shard_of",
+    "zone_of",
+]
--- a/tidebend/coordination/peer_exchange.py
+++ b/tidebend/coordination/peer_exchange.py
@@ -18,19 +18,21 @@
 
 
 @dataclass
-class PeerNews:
+class PeerState:
     """What a peer told us last."""
 
     at: float = -1e9
     as_of: float = -1e9  # time of day at which its last completed read of the state service began
     machines: list[list[Any]] | None = None
-    blocks: frozenset[str] = frozenset()  # those it holds
+    shards: frozenset[str] = frozenset()  # those it holds
     # what the version in production doesn't tell:
-    at_fault: frozenset[str] = frozenset()  # jobs that failed wherever it tried them
-    came: dict[str, float] = field(default_factory=dict)  # block -> steady time at which a worker of it came to it
+    is_crash_looping: frozenset[str] = frozenset()  # jobs that failed wherever it tried them
+    report_times: dict[str, float] = field(
+        default_factory=dict
+    )  # block -> steady time at which a worker of it came to it
 
 
-class PeerLink:
+class PeerExchange:
     """Frames to each peer, about once a report interval, with what we know of blocks and machines."""
 
     def __init__(
@@ -40,7 +42,7 @@
         self._news = news
         self._told = told
         self.pause = min(1.0, settings.report_s / 2.0)
-        self.peers: dict[str, PeerNews] = {peer.name: PeerNews() for peer in settings.peers}
+        self.peers: dict[str, PeerState] = {peer.name: PeerState() for peer in settings.peers}
 
     def start(self) -> None:
         server = FrameServer(self.settings.peer_listen, self.receive, 10.0 * self.pause)
@@ -57,27 +59,33 @@
         now = time.monotonic()
         try:
             as_of = float(frame["state_contact"])  # named as the version in production does
-            machines, blocks = list(frame["machines"]), frozenset(frame["held"])
-            at_fault = frozenset(frame.get("at_fault", ()))
-            came = {block: now - float(ago) for block, ago in frame.get("came", {}).items()}
+            machines, shards = list(frame["machines"]), frozenset(frame["held"])
+            is_crash_looping = frozenset(frame.get("at_fault", ()))
+            came = {shard: now - float(ago) for shard, ago in frame.get("came", {}).items()}
             self._told(frame["blocks"])
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             log.error("peer frame: %r", error)
             return
         # all of it or nothing: a frame that can't be read isn't half taken over
-        news.as_of, news.machines, news.blocks, news.at_fault, news.came = as_of, machines, blocks, at_fault, came
+        news.as_of, news.machines, news.shards, news.is_crash_looping, news.report_times = (
+            as_of,
+            machines,
+            shards,
+            is_crash_looping,
+            came,
+        )
         news.at = now
 
-    def at_fault(self) -> frozenset[str]:
+    def is_crash_looping(self) -> frozenset[str]:
         """Jobs that failed wherever some other controller tried them, by news that is no older than a lease."""
         now = time.monotonic()
         return frozenset().union(
-            *(peer.at_fault for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
+            *(peer.is_crash_looping for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
         )
 
-    def came(self, block: str) -> float:
+    def last_report(self, shard: str) -> float:
         """Steady time at which a worker of a block last came to some other controller."""
-        return max((peer.came.get(block, -1e9) for peer in self.peers.values()), default=-1e9)
+        return max((peer.report_times.get(shard, -1e9) for peer in self.peers.values()), default=-1e9)
 
     def _send(self, peer: Peer) -> None:
         stream: socket.socket | None = None
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -10,7 +10,7 @@
 import logging
 import sys
 
-from tidebend.kvclient import LIVE, Mirror, StateClient, Unavailable, Unknown
+from tidebend.kvclient import LIVE, KeyValueClient, NotExecutedError, OutcomeUnknownError, WatchCache
 from tidebend.settings import Settings
 
 log = logging.getLogger("formats")
@@ -21,16 +21,16 @@
 NEWEST = PIPELINES
 
 
-class Formats:
-    def __init__(self, settings: Settings, state: StateClient, mirror: Mirror) -> None:
+class SchemaVersion:
+    def __init__(self, settings: Settings, state: KeyValueClient, cache: WatchCache) -> None:
         self.settings = settings
         self.state = state
-        self.mirror = mirror
+        self.cache = cache
 
     @property
     def version(self) -> int:
         """The format in force, as far as we have read: it only grows, so that acting on an old reading is safe."""
-        value, _ = self.mirror.get(FORMAT)
+        value, _ = self.cache.get(FORMAT)
         return value["version"] if value else 1
 
     @property
@@ -40,7 +40,7 @@
     def announce(self) -> None:
         """Tell what this process reads. It stays when the process ends, which comes back no older."""
         key = READS + self.settings.name
-        value, version = self.mirror.get(key)
+        value, version = self.cache.get(key)
         if value is None or value["newest"] < NEWEST:
             self._put(key, {"newest": NEWEST}, {key: version})
 
@@ -50,28 +50,28 @@
             return
         conditions = dict(leader)
         for name in (self.settings.name, *(peer.name for peer in self.settings.peers)):
-            value, version = self.mirror.get(READS + name)
+            value, version = self.cache.get(READS + name)
             if value is None or value["newest"] < NEWEST:
                 return
             conditions[READS + name] = version
-        _, version = self.mirror.get(FORMAT)
+        _, version = self.cache.get(FORMAT)
         self._put(FORMAT, {"version": NEWEST}, {**conditions, FORMAT: version})
         log.info("format %d is in force from now on; there is no way back below it", NEWEST)
 
     def _put(self, key: str, value: dict[str, int], conditions: dict[str, int]) -> None:
-        self.mirror.write(conditions, [(key, value, None)], "lease")
+        self.cache.write(conditions, [(key, value, None)], "lease")
 
 
 def show(settings: Settings) -> int:
     """For operators: what is in force, and whom the next format waits for."""
-    state = StateClient(settings.state, settings.state_limits, settings.controllers, timeout=2.0)
+    state = KeyValueClient(settings.state, settings.state_limits, settings.controllers, timeout=2.0)
     try:
         value, _ = state.get(FORMAT)
         print(f"format {value['version'] if value else 1} is in force")
         for name in sorted((settings.name, *(peer.name for peer in settings.peers))):
             value, _ = state.get(READS + name)
             print(f"{name} reads up to format {value['newest'] if value else 1}")
-    except (Unavailable, Unknown) as error:
+    except (NotExecutedError, OutcomeUnknownError) as error:
         print(f"tidebend: the state service can't be read: {error}", file=sys.stderr)
         return 1
     return 0
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -1,19 +1,19 @@
 """The state service's client, and a cache of its keys that knows how old it is."""
 
-from tidebend.kvclient.client import StateClient
-from tidebend.kvclient.errors import Conflict, NoSuchLease, Refused, Unavailable, Unknown
+from tidebend.kvclient.client import KeyValueClient
+from tidebend.kvclient.errors import ConflictError, LeaseNotFoundError, NotExecutedError, OutcomeUnknownError, Refused
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
-from tidebend.kvclient.watch_cache import Mirror
+from tidebend.kvclient.watch_cache import WatchCache
 
 __all__ = [
     "FINAL",
     "LIVE",
     "PREFIX",
-    "Conflict",
-    "Mirror",
-    "NoSuchLease",
+    "ConflictError",
+    "WatchCache",
+    "LeaseNotFoundError",
     "Refused",
-    "StateClient",
-    "Unavailable",
-    "Unknown",
+    "KeyValueClient",
+    "NotExecutedError",
+    "OutcomeUnknownError",
 ]
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.kvclient.errors import Conflict, NoSuchLease, Refused, Unavailable, Unknown
+from tidebend.kvclient.errors import ConflictError, LeaseNotFoundError, NotExecutedError, OutcomeUnknownError, Refused
 from tidebend.protocol import Write
 from tidebend.settings import Limits
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
@@ -34,7 +34,7 @@
 BUSY_TIMEOUTS = 10.0
 
 
-class StateClient:
+class KeyValueClient:
     def __init__(
         self,
         address: tuple[str, int],
@@ -84,16 +84,16 @@
         deadline = time.monotonic() + patience
         floor = FLOORS[kind]
         if kind == "submit" and not self._submissions.take(writes):
-            raise Unavailable("over budget")
+            raise NotExecutedError("over budget")
         while True:
             if self._requests.take(1.0, floor):
                 if not writes or self._writes.take(writes, floor):
                     try:
                         status, answer = self._http.request(method, path, body, timeout or self.timeout)
                     except Unreachable as error:
-                        raise Unavailable(str(error)) from error
+                        raise NotExecutedError(str(error)) from error
                     except NoAnswer as error:
-                        raise Unknown(str(error)) from error
+                        raise OutcomeUnknownError(str(error)) from error
                     if status != 429:
                         break
                     if not self._refusals.take(1.0):
@@ -102,10 +102,10 @@
                 else:
                     self._requests.give_back(1.0)
             if time.monotonic() >= deadline:
-                raise Unavailable("over budget")
+                raise NotExecutedError("over budget")
             time.sleep(random.uniform(0.5, 1.5) / self._requests.rate)
         if status == 503:
-            raise Unavailable("refused")
+            raise NotExecutedError("refused")
         return status, answer
 
     def transact(
@@ -125,16 +125,16 @@
             if status == 200:
                 return protocol.parse_revision(answer)
             if status == 409:
-                raise Conflict([str(key) for key in (answer or {}).get("failed", [])])
+                raise ConflictError([str(key) for key in (answer or {}).get("failed", [])])
         except protocol.Invalid as error:
-            raise Unknown(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
         if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
-            raise NoSuchLease
+            raise LeaseNotFoundError
         if status == 400:
             log.error("state service: a transaction of %d changes is refused: %s", len(writes), answer)
             raise Refused("refused by its size")
         log.error("state service: unexpected %s to a transaction: %s", status, answer)
-        raise Unknown(f"unexpected status {status}")
+        raise OutcomeUnknownError(f"unexpected status {status}")
 
     def get(self, key: str, kind: str = "poll", patience: float = 0.0) -> tuple[Any, int]:
         """The value and its version, (None, 0) if there is no such key."""
@@ -142,22 +142,22 @@
         if status == 404:
             return None, 0
         if status != 200:
-            raise Unknown(f"unexpected status {status}")
+            raise OutcomeUnknownError(f"unexpected status {status}")
         try:
             return protocol.parse_item(answer)
         except protocol.Invalid as error:
-            raise Unknown(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
 
     def items(self, prefix: str, after: str | None) -> tuple[list[tuple[str, Any, int]], bool, int]:
         status, answer = self._call(
             "GET", protocol.range_path(prefix, after, 500), None, "claim", timeout=2 * self.timeout, patience=1.0
         )
         if status != 200:
-            raise Unknown(f"unexpected status {status}")
+            raise OutcomeUnknownError(f"unexpected status {status}")
         try:
             return protocol.parse_items(answer)
         except protocol.Invalid as error:
-            raise Unknown(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
 
     def changes(
         self, prefix: str, revision: int, wait_s: float, kind: str
@@ -174,22 +174,22 @@
         if status == 410:
             return None
         if status != 200:
-            raise Unknown(f"unexpected status {status}")
+            raise OutcomeUnknownError(f"unexpected status {status}")
         try:
             return protocol.parse_changes(answer)
         except (protocol.Invalid, KeyError, TypeError) as error:
-            raise Unknown(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
 
     def grant_lease(self, seconds: float) -> int:
         status, answer = self._call(
             "POST", protocol.PATH_LEASES, protocol.lease_request(seconds), "lease", patience=self._patience_s
         )
         if status != 200:
-            raise Unknown(f"unexpected status {status}")
+            raise OutcomeUnknownError(f"unexpected status {status}")
         try:
             return protocol.parse_lease(answer)
         except protocol.Invalid as error:
-            raise Unknown(str(error)) from error
+            raise OutcomeUnknownError(str(error)) from error
 
     def extend_lease(self, lease: int) -> bool:
         """False if the lease has ended."""
@@ -197,5 +197,5 @@
         if status == 404:
             return False
         if status != 200:
-            raise Unknown(f"unexpected status {status}")
+            raise OutcomeUnknownError(f"unexpected status {status}")
         return True
--- a/tidebend/kvclient/errors.py
+++ b/tidebend/kvclient/errors.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 
-class Unavailable(Exception):
+class NotExecutedError(Exception):
     """Not executed: refused, over budget, or no connection."""
 
 
-class Unknown(Exception):
+class OutcomeUnknownError(Exception):
     """May have been executed, or may be later."""
 
 
-class Conflict(Exception):
+class ConflictError(Exception):
     """A condition failed."""
 
     def __init__(self, keys: list[str]) -> None:
@@ -19,9 +19,9 @@
         self.keys = keys
 
 
-class NoSuchLease(Exception):
+class LeaseNotFoundError(Exception):
     """A put named a lease that has ended."""
 
 
-class Refused(Unavailable):
+class Refused(NotExecutedError):
     """Not executed, and not to be sent again as it is: a value or the whole is larger than the service takes now."""
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from tidebend.kvclient.client import FLOORS, StateClient
-from tidebend.kvclient.errors import Unavailable, Unknown
+from tidebend.kvclient.client import FLOORS, KeyValueClient
+from tidebend.kvclient.errors import NotExecutedError, OutcomeUnknownError
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.protocol import Write
 
@@ -23,7 +23,7 @@
 MOST_MISSED = 3
 
 
-class Mirror:
+class WatchCache:
     """A cache of every key under LIVE, fed by a watch and by reads on demand; finals are only passed on.
 
     `on_change(key, value, version)` is called under `lock`, for each newer version once.
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        state: StateClient,
+        state: KeyValueClient,
         on_change: Callable[[str, Any, int], None],
         lock: threading.RLock,
         watch_s: float,
@@ -116,7 +116,7 @@
                 del self._requests_under_way[request]
 
     def write(self, conditions: dict[str, int], writes: list[Write], kind: str = "claim", patience: float = 0.5) -> int:
-        """Change the records, then the cache by the same changes; raises as `StateClient.transact` does."""
+        """Change the records, then the cache by the same changes; raises as `KeyValueClient.transact` does."""
         with self._request_under_way():
             revision = self.state.transact(conditions, writes, kind, patience)
             with self.lock:
@@ -149,7 +149,7 @@
         if paged:
             result = self.state.changes(PREFIX, revision, 0.0, "claim")
             if result is None:
-                raise Unavailable("the store moves on faster than it can be read")
+                raise NotExecutedError("the store moves on faster than it can be read")
             moved, revision = result
             for key, value, version in moved:
                 if key.startswith(FINAL):
@@ -197,7 +197,7 @@
                 self.catch_up(self.watch_s, "claim")
                 self.watched = time.monotonic()
                 time.sleep(self.state.watch_pause_s)
-            except (Unavailable, Unknown) as error:
+            except (NotExecutedError, OutcomeUnknownError) as error:
                 log.info("watch: %s", error)
                 time.sleep(random.uniform(0.5, 1.5) * self._retry_s)
 
@@ -225,7 +225,7 @@
             try:
                 self.catch_up(0.0, kind)
                 fine = True
-            except (Unavailable, Unknown) as error:
+            except (NotExecutedError, OutcomeUnknownError) as error:
                 log.debug("barrier: %s", error)
                 fine = False
             missed = 0 if fine else missed + 1
--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -21,7 +21,7 @@
     is_job_id,
     job_answer,
     job_id,
-    parse_awaits,
+    parse_dependencies,
     parse_job,
 )
 from tidebend.protocol.machines import (
@@ -92,7 +92,7 @@
     "lease_path",
     "lease_request",
     "list_path",
-    "parse_awaits",
+    "parse_dependencies",
     "parse_changes",
     "parse_item",
     "parse_items",
--- a/tidebend/protocol/jobs.py
+++ b/tidebend/protocol/jobs.py
@@ -64,7 +64,7 @@
     )
 
 
-def parse_awaits(body: dict[str, Any]) -> tuple[str, ...]:
+def parse_dependencies(body: dict[str, Any]) -> tuple[str, ...]:
     """The jobs that have to be done before any task of this one starts."""
     rows = body.get("awaits")
     if rows is None:
--- a/tidebend/quota/usage_index.py
+++ b/tidebend/quota/usage_index.py
@@ -7,16 +7,16 @@
 
 from tidebend.protocol import JobSpec
 from tidebend.quota.records import QUOTA, TEAM, Amounts, amount
-from tidebend.quota.team_usage import Usage
-from tidebend.quota.zone_quotas import Shares
+from tidebend.quota.team_usage import TeamUsage
+from tidebend.quota.zone_quotas import ZoneQuotas
 
 
-class Accounts:
+class UsageIndex:
     """Changed and read under the lock of the cache that owns it."""
 
     def __init__(self) -> None:
         self._charged: dict[str, tuple[float, float, int]] = {}  # team -> its record and the record's version
-        self._shares: dict[str, Shares] = {}
+        self._shares: dict[str, ZoneQuotas] = {}
         self._used: dict[str, dict[str, list[float]]] = {}  # team -> zone -> what its claims there take
         self._ended: dict[str, list[float]] = {}  # team -> what its live jobs' ended claims took
 
@@ -31,7 +31,7 @@
             if value is None:
                 self._shares.pop(key[len(QUOTA) :], None)
             else:
-                self._shares[key[len(QUOTA) :]] = Shares(version, {zone: tuple(row) for zone, row in value.items()})
+                self._shares[key[len(QUOTA) :]] = ZoneQuotas(version, {zone: tuple(row) for zone, row in value.items()})
 
     def count_claim(self, spec: JobSpec, zone: str, tasks: int) -> None:
         """`tasks` more of a job hold places in a zone, or fewer."""
@@ -51,15 +51,15 @@
         rows = [row for zone, row in self._used.get(team, {}).items() if zones is None or zone in zones]
         return sum(row[0] for row in rows), sum(row[1] for row in rows)
 
-    def has_shares(self, team: str) -> bool:
+    def has_zone_quotas(self, team: str) -> bool:
         return team in self._shares
 
-    def team(self, name: str, zones: Iterable[str] = ()) -> Usage:
+    def team(self, name: str, zones: Iterable[str] = ()) -> TeamUsage:
         """A team's usage as who holds these zones may act on it."""
         shares = self._shares.get(name)
         if shares is not None:
             others, here = shares.total(but=zones), self.used(name, zones)
-            return Usage(amount(others[0] + here[0]), amount(others[1] + here[1]), shares.version, shares=shares)
+            return TeamUsage(amount(others[0] + here[0]), amount(others[1] + here[1]), shares.version, shares=shares)
         cpus, gpus, version = self._charged.get(name, (0.0, 0.0, 0))
         ended = self._ended.get(name, (0.0, 0.0))
-        return Usage(amount(cpus - ended[0]), amount(gpus - ended[1]), version, (cpus, gpus))
+        return TeamUsage(amount(cpus - ended[0]), amount(gpus - ended[1]), version, (cpus, gpus))
--- a/tidebend/quota/zone_quotas.py
+++ b/tidebend/quota/zone_quotas.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shares:
+class ZoneQuotas:
     """How much of its limit a team may use in each zone.
 
     Only a zone's holder adds claims there, and it knows all that there are: so it compares this record and need not
@@ -52,7 +52,7 @@
         return zones
     # what lies unused in our own zones serves first, then what is free; a part of that is taken ahead
     zones = {**zones, **needs}
-    total = Shares(0, zones).total()
+    total = ZoneQuotas(0, zones).total()
     if not limit.allows(*total):
         return None
     ahead = AHEAD / max(1, every * len(grown))
@@ -64,10 +64,10 @@
     return zones
 
 
-def lowered(shares: Shares, used: dict[str, Amounts]) -> Shares | None:
+def lowered(shares: ZoneQuotas, used: dict[str, Amounts]) -> ZoneQuotas | None:
     """The shares with those of some zones at what is used there; None if that gives nobody more room.
 
     Only those zones' holder may write it, in a transaction that compares that it still is.
     """
-    lower = Shares(0, {zone: used.get(zone, row) for zone, row in shares.zones.items()})
+    lower = ZoneQuotas(0, {zone: used.get(zone, row) for zone, row in shares.zones.items()})
     return None if lower.total() >= shares.total() else lower
--- a/tidebend/scheduling/__init__.py
+++ b/tidebend/scheduling/__init__.py
@@ -1,7 +1,7 @@
 """Maximum value per resource with place-holders (Khemka et al.): pure functions of a snapshot and a clock."""
 
 from tidebend.scheduling.resources import EPSILON, Amount, largest_share, need_of, times_fit
-from tidebend.scheduling.task_requests import Owed, Place, Placement, Want, allowed_on
+from tidebend.scheduling.task_requests import CandidateMachine, GuaranteeBalance, Placement, TaskRequest, allowed_on
 from tidebend.scheduling.timeline import Timeline
 from tidebend.scheduling.value_functions import Demand, Value, demands, is_reserved, own_demand, value_of
 from tidebend.scheduling.value_per_resource import map_tasks
@@ -10,12 +10,12 @@
     "EPSILON",
     "Amount",
     "Demand",
-    "Owed",
-    "Place",
+    "GuaranteeBalance",
+    "CandidateMachine",
     "Placement",
     "Timeline",
     "Value",
-    "Want",
+    "TaskRequest",
     "allowed_on",
     "demands",
     "is_reserved",
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class CandidateMachine:
     """A machine as a mapping event sees it."""
 
     name: str
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Want:
+class TaskRequest:
     """A job's waiting tasks: they are equal in value and size and share one entry."""
 
     job: str
@@ -72,7 +72,7 @@
 
 
 @dataclass(slots=True)
-class Owed:
+class GuaranteeBalance:
     """What a team still has to get of its guarantee: CPUs and GPUs."""
 
     cpus: float
@@ -96,12 +96,12 @@
     now: bool  # starts now; otherwise a place-holder
 
 
-def allowed_on(want: Want, place: Place) -> bool:
+def allowed_on(request: TaskRequest, place: CandidateMachine) -> bool:
     """Whether a want may be placed on a machine at all."""
-    if want.keeps_off_gpus and place.type.gpus > 0:
+    if request.keeps_off_gpus and place.type.gpus > 0:
         return False
-    if want.service and place.until < math.inf:
+    if request.service and place.until < math.inf:
         return False
-    if place.name in want.avoided:
+    if place.name in request.avoided:
         return False
-    return place.allowed(want.spec)
+    return place.allowed(request.spec)
--- a/tidebend/zone_failover/evacuation.py
+++ b/tidebend/zone_failover/evacuation.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class IsolationWindow:
     """How long a zone that is cut off works on inside; steady times.
 
     Its controller answers its workers until `until` at the latest, and they keep their tasks for the rest of a lease:
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class MachineContents:
     """What a machine in a lost zone holds."""
 
     machine: str
@@ -29,12 +29,12 @@
     worth_s: float = 0.0  # how much longer than `until` it is waited for: a gang's machine keeps the image
 
 
-def order(standing: Standing) -> tuple:
+def order(standing: MachineContents) -> tuple:
     """Which machines go first: those that hold most of what is missed at once, with the least beside it."""
     return -standing.replicas, len(standing.ends), standing.machine
 
 
-def leave(standings: list[Standing], hold: Hold, now: float, turn_s: float) -> list[str]:
+def leave(standings: list[MachineContents], hold: IsolationWindow, now: float, turn_s: float) -> list[str]:
     """The machines that are given up now; asked for again each `turn_s`.
 
     Nothing inside is lost until its controller may answer no more, and the cut may end before. Replicas would be missed
@@ -45,7 +45,7 @@
     cut ends.
     """
     serving = sorted((row for row in standings if row.replicas), key=order)
-    due: list[Standing] = []
+    due: list[MachineContents] = []
     if serving and now >= hold.begin:
         turns = max(1.0, (hold.end - now) / turn_s)
         due = serving[: math.ceil(len(serving) / turns)]
--- a/tidebend/zone_failover/relocation.py
+++ b/tidebend/zone_failover/relocation.py
@@ -9,10 +9,10 @@
 
 def without(job: Job, lost: set[str]) -> Job | None:
     """The job as it will be once all that it has in lost zones is given up; None if it has nothing there."""
-    left = tuple(claim for claim in job.claims if claim.zone not in lost)
-    return None if len(left) == len(job.claims) else replace(job, claims=left)
+    left = tuple(allocation for allocation in job.allocations if allocation.zone not in lost)
+    return None if len(left) == len(job.allocations) else replace(job, allocations=left)
 
 
-def part_of(tasks: int, numbers: list[int], of: int) -> int:
+def share_of_tasks(tasks: int, numbers: list[int], of: int) -> int:
     """How many of a job's tasks fall to the holders with these numbers, of so many: each to just one of them."""
     return sum(tasks // of + (number < tasks % of) for number in numbers)
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -58,7 +58,7 @@
         return await exchange(self.reader, self.writer, method, path, body, self.world.key)
 
     async def run(self) -> None:
-        server = await asyncio.start_server(self.orders, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.commands_for, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         _, joined = await self.call("POST", "/desk/agents", {"nonce": uuid.uuid4().hex, "kind": "light", "label": "l"})
         self.name = joined["machine"]
@@ -87,8 +87,8 @@
             "pieces": list(self.tasks.values()),
         }
 
-    def obey(self, orders: list[dict]) -> None:
-        for order in orders:
+    def obey(self, commands_for: list[dict]) -> None:
+        for order in commands_for:
             task = order["piece"]
             if order["order"] == "start" and task not in self.tasks:
                 self.world.started[task] = time.monotonic()
@@ -97,7 +97,7 @@
             elif order["order"] == "clear":
                 self.tasks.pop(task, None)
 
-    async def orders(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def commands_for(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head, body = await message(reader)
             if head is None:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -218,7 +218,7 @@
         script = script.replace("{trap}", draw.choice(["", "", "", "trap '' TERM"]))
         script = script.replace("{child}", draw.choice(["", "", "", "setsid sleep 30 &"]))
         tasks = {"array": draw.randint(1, 8), "gang": draw.randint(2, 4), "service": 2}.get(kind, 2)
-        block = JobBlock(
+        shard = JobBlock(
             command=["sh", "-c", script],
             kind=kind if kind != "chain" else "array",
             tasks=tasks,
@@ -231,9 +231,9 @@
         earlier = [
             name for name, row in self.asked.items() if row.accepted and row.ready.description.kind != "service"
         ][-5:]
-        awaits = (draw.choice(earlier),) if kind == "chain" and earlier else ()
+        dependencies = (draw.choice(earlier),) if kind == "chain" and earlier else ()
         name = new_id(kind)
-        row = self.asked[name] = Asked(Ready(name, kind, block.spec(kind), block.description(), awaits))
+        row = self.asked[name] = Asked(Ready(name, kind, shard.spec(kind), shard.description(), dependencies))
         if kind == "service":
             row.cancel_at = time.monotonic() + draw.uniform(1.0, 6.0)
         elif draw.random() < 0.1:
