--- a/deploy/local.hcl
+++ b/deploy/local.hcl
@@ -17,7 +17,9 @@
 # An agent that was started here ends itself after so many leases without a word from the control service; 0: never.
 agents_alone_leases = 40
 
-# Connections at a time, each a thread. A quarter of them may be of people who haven't shown a key yet.
+# Connections at a time, from 64 to 20000: two for each agent leave room for users. Each is an open file, so have `ulimit -n`
+# some 1,000 above it. Each has a thread of its own while there are fewer than some 1,100, later only for its requests. A
+# quarter of them, or of the threads if that is less, may be of people who haven't shown a key yet.
 connections = 1000
 
 # What holds between agents and the control service, in seconds.
--- a/tidebend/access/authentication.py
+++ b/tidebend/access/authentication.py
@@ -56,18 +56,22 @@
         body_s: float,
         most: int,
         tls: ssl.SSLContext | None = None,
+        backlog: int = 128,
+        max_threads: int | None = None,
     ) -> None:
+        """`backlog` and `max_threads` as in `Server`. Connections of guests may each hold a thread, one byte at a
+        time, so their share is of the threads where those are fewer."""
         self.ring = ring
         self._tls = tls
         self.refused = 0
         self._patience_s = body_s  # for a guest to show a key, and for a whole body
-        self._most_guests = max(2, int(most * GUESTS_SHARE))
+        self._most_guests = max(2, int(min(most, max_threads or most) * GUESTS_SHARE))
         self._tables = threading.Lock()
         self._guests: dict[socket.socket, float] = {}  # connection -> steady time at which it came, oldest first
         self._reading: dict[socket.socket, float] = {}  # connection -> steady time at which its body began
         self._refusals_at = -1e9
         self._closed = threading.Event()
-        super().__init__(address, route, idle_s, body_s, most, _GateHandler)
+        super().__init__(address, route, idle_s, body_s, most, _GateHandler, backlog, max_threads)
         threading.Thread(target=self._watch, name="gate", daemon=True).start()
 
     @property
@@ -77,7 +81,7 @@
     def get_request(self) -> tuple[Any, Any]:
         connection, address = super().get_request()
         if self._tls is not None:
-            # the handshake is done by the connection's own thread, with its first read
+            # the handshake is done by the connection's thread, with its first read
             connection = self._tls.wrap_socket(connection, server_side=True, do_handshake_on_connect=False)
         return connection, address
 
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -30,7 +30,7 @@
 DONE_GANG = "desk/gang/"
 
 LATER = {"Retry-After": "1"}
-MOST_LISTED = 200
+MOST_LISTED = 200  # jobs a page: `more` and `last` say how it goes on
 OUTPUT_S = 5.0
 # a task, or a job for its first
 PLACE = re.compile(r"(?P<job>[^/]+)(?:/(?P<index>\d{1,6}))?\Z")
@@ -168,8 +168,7 @@
             return Reply(400, {"error": "expected JOB/TASK"})
         job, index = match["job"], int(match["index"] or 0)
         under = f"{RAN}{job}/"
-        rows, _, _ = self._engine.items(under, under, 1000, 1 << 20)
-        machines = [row.key[len(under) :] for row in rows]
+        machines = [row.key[len(under) :] for row in self._engine.all_items(under)]
         if not machines and self._engine.get(DESCRIPTION + job)[0] is None:
             return Reply(404, {"error": f"no job {job}"})
         newest: dict[str, Any] | None = None
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -4,6 +4,7 @@
 
 import json
 import logging
+import resource
 import signal
 import socket
 import threading
@@ -15,7 +16,7 @@
 from tidebend.control.api import Desk
 from tidebend.control.metrics import PATH, Metrics
 from tidebend.control.settings import CONTROLLER, ControlSettings
-from tidebend.controller import Controller
+from tidebend.controller import Controller, connection_limits
 from tidebend.kvstore import Direct, Engine, StateService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
@@ -27,6 +28,11 @@
 KEYS, ADDRESS, STATE, AGENTS = "keys.json", "address", "state", "agents"
 STACK_BYTES = 256 * 1024
 BODY_S = 10.0
+# for connections to each interface beside the main one: of tools that look at the state, and of metrics
+SIDE_THREADS = 100
+SIDES = 2
+# connections that may wait to be taken, also where few are set: agents come back all at once when we were away
+LEAST_BACKLOG = 128
 
 
 class PortTaken(Exception):
@@ -57,7 +63,12 @@
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
         )
         self.state = StateService(self.engine, limits)
-        self.gate = self._gate(self._place(), lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}))
+        at = self._place()
+        # the shares of threads follow from the settings alone, wherever we are going to listen
+        shares = settings.controller(at[1], at[0])
+        threads = connection_limits.threads(shares) - SIDES * SIDE_THREADS
+        _warn_of_few_files(settings.connections)
+        self.gate = self._gate(at, lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}), threads)
         host, port = self.gate.server_address[:2]
         self.address = f"{host}:{port}"
         own = settings.controller(port, host)
@@ -78,7 +89,7 @@
         )
         self.gates = [self.gate]
         if state.listen:
-            self.gates.append(self._gate(place(state.listen), self._state_route))
+            self.gates.append(self._gate(place(state.listen), self._state_route, SIDE_THREADS))
         if settings.metrics_listen:
             metrics = Metrics(self.engine, self.controller, self.provider, self.gate)
             self.gates.append(
@@ -87,6 +98,7 @@
                     lambda method, path, _: (
                         metrics.answer() if (method, path) == ("GET", PATH) else Reply(404, {"error": "no such path"})
                     ),
+                    SIDE_THREADS,
                 )
             )
 
@@ -100,7 +112,7 @@
                 return host, int(text)
         return host, port
 
-    def _gate(self, address: tuple[str, int], route: Callable[..., Reply]) -> Gate:
+    def _gate(self, address: tuple[str, int], route: Callable[..., Reply], threads: int) -> Gate:
         try:
             return Gate(
                 address,
@@ -110,6 +122,8 @@
                 BODY_S,
                 self.settings.connections,
                 self.settings.tls.server() if self.settings.tls else None,
+                max(LEAST_BACKLOG, int(connection_limits.BACKLOG_SHARE * self.settings.connections)),
+                threads,
             )
         except (OSError, socket.gaierror) as error:
             raise PortTaken(
@@ -180,6 +194,13 @@
         self.engine.close()
 
 
+def _warn_of_few_files(connections: int) -> None:
+    """Say so in the log where this process can't have so many connections, whatever else it has open."""
+    may, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if may != resource.RLIM_INFINITY and may < connections:
+        log.warning("this process may open %d files, but `connections` is %d: raise `ulimit -n`", may, connections)
+
+
 def run_control(settings: ControlSettings, directory: Path, ready: Callable[[Control], None] | None = None) -> int:
     """Until SIGTERM or SIGINT; the exit status. `ready` is called once it serves. Raises what Control does."""
     threading.stack_size(STACK_BYTES)
--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -19,6 +19,8 @@
 # of what the embedded service takes, when nothing else is said
 VALUE_KB = 32.0
 TXN_OPS = 64
+# five for each machine of a fleet of 4,000; an agent holds one or two, and each is an open file
+MOST_CONNECTIONS = 20_000
 # ends are gathered for this share of a lease
 GATHER = 0.01
 
@@ -116,7 +118,10 @@
     zone: Name = "here"
     keep_idle_s: Annotated[float, msgspec.Meta(ge=1, le=900_000)] = 900_000.0
     agents_alone_leases: Annotated[float, msgspec.Meta(ge=0)] = 40.0
-    connections: Annotated[int, msgspec.Meta(ge=64, le=1500)] = 1000
+    # Not bounded by threads, of which the main interface has some 1,450 to 1,700 (`controller/connection_limits.py`)
+    # and each other one a hundred (`control/main.py`). A connection has a thread of its own while no more than three quarters of
+    # these are in use, after that only for its requests (`transport/server.py`).
+    connections: Annotated[int, msgspec.Meta(ge=64, le=MOST_CONNECTIONS)] = 1000
 
 
 BLOCKS = ("times", "state", "machine", "team", "tls")
--- a/tidebend/controller/connection_limits.py
+++ b/tidebend/controller/connection_limits.py
@@ -4,11 +4,13 @@
 
 from tidebend.settings import Settings
 
-# the platform's bound, less what we run besides a thread for each connection
+# the platform's bound, less what we run besides threads for connections
 MOST_THREADS = 2000 - 100
 # connections kept to workers for direct commands, and threads that ask silent ones, as shares of all sockets
 KEPT_SHARE = 1 / 16
 ASKING_SHARE = 1 / 64
+# ... but no more than this, so that most threads are for connections, however many sockets there are
+MOST_ASKING = MOST_THREADS // 8
 # Connections that wait to be taken. Guards a controller that is behind with its answers: with a backlog as long as all
 # its connections it came to its last socket, and the load balancer's probes found none.
 BACKLOG_SHARE = 1 / 16
@@ -23,7 +25,7 @@
 
 def asking(settings: Settings) -> int:
     """Threads that ask silent machines; each takes a full time-out for one."""
-    return max(5, int(ASKING_SHARE * settings.max_sockets))
+    return min(MOST_ASKING, max(5, int(ASKING_SHARE * settings.max_sockets)))
 
 
 def backlog(settings: Settings) -> int:
@@ -34,4 +36,9 @@
 def incoming(settings: Settings) -> int:
     """Connections of users and workers at a time: what our own, to peers and by peers leave."""
     own = OWN + 4 * len(settings.peers) + kept(settings) + asking(settings) + backlog(settings)
-    return min(MOST_THREADS - asking(settings), max(settings.max_sockets // 2, settings.max_sockets - own))
+    return max(settings.max_sockets // 2, settings.max_sockets - own)
+
+
+def threads(settings: Settings) -> int:
+    """Threads for the connections of users and workers, of which there may be more: idle ones do without."""
+    return MOST_THREADS - asking(settings)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -229,6 +229,7 @@
             body_s=min(5.0, self.settings.lease_s / 2.0),
             most=connection_limits.incoming(self.settings),
             backlog=connection_limits.backlog(self.settings),
+            max_threads=connection_limits.threads(self.settings),
         )
         self.begin()
         return server
--- a/tidebend/kvstore/engine.py
+++ b/tidebend/kvstore/engine.py
@@ -12,7 +12,7 @@
 import sqlite3
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from concurrent.futures import Future
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -30,6 +30,9 @@
 MOST_IN_A_SYNC = 256
 MOST_WAITING = 4096
 READERS = 4
+# of `all_items`; what is longer is read on
+PAGE = 1000
+PAGE_BYTES = 1024 * 1024
 # leases may end up to 100 ms late
 TICK_S = 0.05
 # a gap between two ticks that is longer than this is an outage: we stood still, and nobody could renew
@@ -307,6 +310,19 @@
 
         return self._read(work)
 
+    def all_items(self, prefix: str) -> Iterator[Item]:
+        """All items under a prefix in key order, however many: read a page at a time, each as of its own revision.
+
+        Raises Failed on the way if a page can't be read.
+        """
+        after = ""
+        more = True
+        while more:
+            page, more, _ = self.items(prefix, after, PAGE, PAGE_BYTES)
+            yield from page
+            if page:
+                after = page[-1].key
+
     def count(self, prefix: str) -> int:
         return self._read(
             lambda connection: connection.execute(
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("store")
 
-MOST_ITEMS = 1000
+MOST_ITEMS = 1000  # a page: `more` says that it goes on
 MOST_ITEMS_BYTES = 512 * 1024
 MOST_TRANSACTION_BYTES = 64 * 1024
 MOST_WAIT_MS = 60_000
--- a/tidebend/kvstore/watch_feed.py
+++ b/tidebend/kvstore/watch_feed.py
@@ -7,6 +7,7 @@
 from collections import deque
 from dataclasses import dataclass
 
+# whoever is further behind is told so (TooOld), and reads all keys again
 MOST_CHANGES = 10_000
 MOST_BYTES = 32 * 1024 * 1024
 
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -34,7 +34,7 @@
 
 TEND_S = 0.25
 LEAVE_S = 20.0
-MOST_LISTED = 500
+MOST_LISTED = 500  # machines a page, by the protocol: `more` says that it goes on
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -102,16 +102,10 @@
     # Records
 
     def _load(self) -> None:
-        after = ""
-        while True:
-            rows, more, _ = self._engine.items(MACHINE, after, 1000, 1 << 20)
-            for row in rows:
-                machine = msgspec.convert(row.value, Machine)
-                if not machine.gone:
-                    self._machines[row.key[len(MACHINE) :]] = (machine, row.version)
-            if not more:
-                return
-            after = rows[-1].key
+        for row in self._engine.all_items(MACHINE):
+            machine = msgspec.convert(row.value, Machine)
+            if not machine.gone:
+                self._machines[row.key[len(MACHINE) :]] = (machine, row.version)
 
     def machines(self) -> dict[str, Machine]:
         with self._lock:
--- a/tidebend/transport/server.py
+++ b/tidebend/transport/server.py
@@ -5,11 +5,15 @@
 import json
 import logging
 import socketserver
+import ssl
 import threading
 from collections.abc import Callable
 from http.server import BaseHTTPRequestHandler, HTTPServer
 from typing import Any
 
+from tidebend.transport.connection_threads import ConnectionThreads
+from tidebend.transport.idle_connections import Connection, IdleConnections
+
 log = logging.getLogger("transport")
 
 MAX_BODY = 64 * 1024
@@ -55,6 +59,32 @@
         self.timeout = self.server.idle_s
         super().setup()
 
+    def handle(self) -> None:
+        """Serve requests until the connection is to be closed, or may be parked: `close_connection` tells which."""
+        self.close_connection = True
+        self.handle_one_request()
+        while not self.close_connection and not self._may_be_parked():
+            self.handle_one_request()
+
+    def _may_be_parked(self) -> bool:
+        """Whether threads are short and nothing of a next request is here, so that nothing is lost with `rfile`."""
+        return self.server.threads_short and not self._has_bytes()
+
+    def _has_bytes(self) -> bool:
+        """Whether a read would return without waiting.
+
+        Asks through `rfile`, and thus through TLS: bytes that were decrypted or read ahead aren't seen by a selector.
+        """
+        self.connection.settimeout(0.0)
+        try:
+            return bool(self.rfile.peek(1))
+        except ssl.SSLWantReadError:  # at most a part of a record: a selector sees the rest of it come
+            return False
+        except OSError:  # the next read finds it, too, and ends the connection
+            return True
+        finally:
+            self.connection.settimeout(self.server.idle_s)
+
     def _body(self) -> bytes:
         if self.headers.get("Transfer-Encoding"):
             self.close_connection = True
@@ -123,19 +153,25 @@
 
 # from this share of the most connections on, those that can do without theirs are closed after their answer
 SHORT_FROM = 0.9
+# From this share of the most threads on, none is kept for a connection that is idle. The rest of them are there for
+# requests, whatever the connections that came first do.
+THREADS_SHORT_FROM = 0.75
+
 
+class Server(HTTPServer):
+    """Takes up to `most` connections at a time, one thread each while there are threads.
 
-class Server(socketserver.ThreadingMixIn, HTTPServer):
-    """Takes up to `most` connections at a time, one thread each.
+    Connections aren't bounded by threads. Once three quarters of `max_threads` are in use, a connection that is idle,
+    new or after its answer, is parked: one thread watches all of these, and each gets a thread again when there is
+    something to read. Should there be none, connections wait for one in the order of their requests. A parked
+    connection is closed when it was idle for `idle_s`, as others are. Connections with TLS are parked, too, see
+    `Handler._has_bytes`; the handshake of one that was parked as it came begins with the client's first bytes.
 
     Guards against a fleet that outgrows them. Whoever connects first would keep its connection, and the others, refused
     each time, would lose their leases. So before the most is reached, answers that yield end their connections:
     whoever sent the request connects anew for its next one, and all get their turn.
     """
 
-    daemon_threads = True
-    block_on_close = False
-
     def __init__(
         self,
         address: tuple[str, int],
@@ -145,8 +181,10 @@
         most: int,
         handler: type[Handler] = Handler,
         backlog: int = 128,
+        max_threads: int | None = None,
     ) -> None:
-        """`backlog`: connections that may wait to be taken; they have sockets, too."""
+        """`backlog`: connections that may wait to be taken; they have sockets, too. `max_threads`: threads that serve
+        connections; where it is None, or not below `most`, nothing is ever parked."""
         self.request_queue_size = backlog
         self.route = route
         self.idle_s = idle_s
@@ -156,12 +194,23 @@
         self._refused = 0
         self._told = False  # whether the log says that connections are short
         self._lock = threading.Lock()
+        bounded = max_threads is not None and max_threads < most
+        threads = max(1, max_threads) if bounded else most
+        short_from = int(THREADS_SHORT_FROM * threads) if bounded else most + 1
+        self._threads = ConnectionThreads(threads, short_from, most, self._serve)
+        self._idle: IdleConnections | None = None
         super().__init__(address, handler)
+        if bounded:
+            self._idle = IdleConnections(idle_s, self._submit, self._end)
 
     @property
     def short(self) -> bool:
         return self._open >= SHORT_FROM * self.most
 
+    @property
+    def threads_short(self) -> bool:
+        return self._threads.short
+
     def server_bind(self) -> None:
         # HTTPServer looks its own name up, and there are no name look-ups on the machines
         socketserver.TCPServer.server_bind(self)
@@ -171,18 +220,54 @@
         if not self._enter():
             self.shutdown_request(request)
             return
-        try:
-            super().process_request(request, client_address)
-        except RuntimeError:  # no thread can be had
-            self._leave()
-            self.shutdown_request(request)
+        connection = Connection(request, client_address)
+        if self.threads_short:
+            self._park(connection)
+        else:
+            self._submit(connection)
+
+    def _submit(self, connection: Connection) -> None:
+        """Have a connection served by a thread; it is closed if that can't be."""
+        if not self._threads.submit(connection):
+            self._end(connection)
+
+    def _park(self, connection: Connection) -> None:
+        """Watch a connection of which nothing was read ahead; it is closed if that can't be."""
+        if self._idle is None or not self._idle.park(connection):
+            self._end(connection)
 
-    def process_request_thread(self, request: Any, client_address: Any) -> None:
+    def _end(self, connection: Connection) -> None:
         try:
-            super().process_request_thread(request, client_address)
+            self.shutdown_request(connection.stream)
         finally:
             self._leave()
 
+    def _serve(self, connection: Connection) -> None:
+        """Runs in one of the threads until the connection is closed or parked."""
+        closes = True
+        try:
+            closes = self.RequestHandlerClass(*connection, self).close_connection
+        except Exception:
+            self.handle_error(*connection)
+        try:
+            if closes:
+                self._end(connection)
+            else:
+                self._park(connection)
+        except Exception:
+            log.exception("connection of %s", connection.address)
+
+    def server_close(self) -> None:
+        """Close the listening socket, and the connections that are parked or wait for a thread.
+
+        Requests that are being served get their answers.
+        """
+        super().server_close()
+        if self._idle is not None:
+            self._idle.close()
+        for connection in self._threads.close():
+            self._end(connection)
+
     def _enter(self) -> bool:
         with self._lock:
             free = self._open < self.most
