--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -119,8 +119,8 @@
     keep_idle_s: Annotated[float, msgspec.Meta(ge=1, le=900_000)] = 900_000.0
     agents_alone_leases: Annotated[float, msgspec.Meta(ge=0)] = 40.0
     # Not bounded by threads, of which the main interface has some 1,450 to 1,700 (`controller/connection_limits.py`)
-    # and each other one a hundred (`control/main.py`). A connection has a thread of its own while no more than three quarters of
-    # these are in use, after that only for its requests (`transport/server.py`).
+    # and each other one a hundred (`control/main.py`). A connection has a thread of its own while no more than three
+    # quarters of these are in use, after that only for its requests (`transport/server.py`).
     connections: Annotated[int, msgspec.Meta(ge=64, le=MOST_CONNECTIONS)] = 1000
 
 
