--- a/lab/drivers.py
+++ b/lab/drivers.py
@@ -65,11 +65,11 @@
 
     def guard_machines(self) -> None:
         """Look at the controller's own machines once, as each holder of a shard does."""
-        self.controller.rentals.check_machines_once()
+        self.controller.autoscaler.check_machines_once()
 
     def scale(self) -> None:
         """List, rent and return machines once, as the leader does."""
-        self.controller.rentals.scale_once()
+        self.controller.autoscaler.scale_once()
 
     def read_in_place(self, quiet: tuple[type[Exception], ...]) -> None:
         """Have read barriers read at once, without the thread that does it otherwise."""
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -138,7 +138,8 @@
         assert world.user("submit", "req-b", "n0")[0] == 201
         body = {key: value for key, value in {**world.jobs["req-b"], **ODD[odd]}.items() if value is not None}
         for node in world.nodes:
-            world.controllers[node].rentals.types = {} if node == "n2" else world.controllers[node].rentals.types
+            if node == "n2":
+                world.controllers[node].autoscaler.machine_types.by_name = {}
             assert world.user("submit", "req-b", node, body)[0] in (200, *[503] * (node == "n2"))
         assert world.user("submit", "req-c", "n1", {**body, "id": "req-c"})[0] in (400, 422)
         world.state.refuses["n1"] = world.now + 5.0  # it can't know whether it was accepted
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -12,8 +12,10 @@
 from tidebend import protocol
 from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
 from tidebend.controller import connection_limits
-from tidebend.controller.autoscaling.machine_inventory import CALLS_SHARE, PAGE, MachineInventory
-from tidebend.controller.autoscaling.rentals import SPARE_SHARE
+from tidebend.controller.autoscaling import scale_in
+from tidebend.controller.autoscaling.cloud_client import CloudResponse
+from tidebend.controller.autoscaling.machine_inventory import CALLS_SHARE, PAGE_SIZE, MachineInventory
+from tidebend.controller.workers.command_dispatcher import CommandTarget
 from tidebend.kvclient import LIVE, WatchCache
 from tidebend.protocol import Report
 from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
@@ -51,14 +53,14 @@
                 "tide": "starting",
                 "heldS": 1.0,
             }
-            for name in left[:PAGE]
+            for name in left[:PAGE_SIZE]
         ]
-        return 200, {"fleet": rows, "more": len(left) > PAGE}
+        return CloudResponse(200, {"fleet": rows, "more": len(left) > PAGE_SIZE})
 
     return call
 
 
-@pytest.mark.parametrize("fleet", [PAGE - 1, PAGE + 1, 2 * PAGE, 4 * PAGE + 1])
+@pytest.mark.parametrize("fleet", [PAGE_SIZE - 1, PAGE_SIZE + 1, 2 * PAGE_SIZE, 4 * PAGE_SIZE + 1])
 def test_a_list_of_any_length_is_read_with_few_calls_and_leaves_most_of_them(fleet, monkeypatch):
     """With two calls a second the second page of a list never got one, and without a list nothing was rented."""
     clock = Clock(monkeypatch)
@@ -67,14 +69,14 @@
     listing = MachineInventory(pages_of(fleet, budget, log), 10.0, calls_per_s)
     for _ in range(120):
         listing.read(clock.now)
-        if listing.whole is not None and listing.as_of not in wholes:
+        if listing.machines is not None and listing.as_of not in wholes:
             wholes.append(listing.as_of)
-            assert len(listing.whole) == fleet
+            assert len(listing.machines) == fleet
         while budget.take(1.0):  # rentals take all that is left, each second
             others += 1
         clock.now += 1.0
     ages = [later - earlier for earlier, later in zip(wholes, wholes[1:], strict=False)]
-    pages = -(-fleet // PAGE)
+    pages = -(-fleet // PAGE_SIZE)
     assert len(wholes) > 5 and max(ages) <= 2.5 * max(2.5, pages / (CALLS_SHARE * calls_per_s)) + pages
     assert others >= 0.7 * 120 * calls_per_s
 
@@ -88,25 +90,27 @@
         if len(asked) == 2:
             return None  # no call is to be had
         row = {"id": f"vm-{len(asked):06d}", "address": None, "hull": "box", "harbor": "north", "tide": "running"}
-        return 200, {"fleet": [row], "more": len(asked) < 3}
+        return CloudResponse(200, {"fleet": [row], "more": len(asked) < 3})
 
     listing = MachineInventory(call, 10.0, 2.0)
     listing.read(1000.0)
-    assert listing.whole is None
+    assert listing.machines is None
     listing.read(1001.0)
-    assert sorted(listing.whole) == ["vm-000001", "vm-000003"] and listing.as_of == 1000.0
-    assert asked == [protocol.list_path("", PAGE), *[protocol.list_path("vm-000001", PAGE)] * 2]
+    assert sorted(listing.machines) == ["vm-000001", "vm-000003"] and listing.as_of == 1000.0
+    assert asked == [protocol.list_path("", PAGE_SIZE), *[protocol.list_path("vm-000001", PAGE_SIZE)] * 2]
 
 
 def test_idle_machines_are_gathered_and_given_back_in_few_calls(world):
     """A call a second for each holder's idle machines left none for rentals."""
-    rentals = world.controllers["n0"].rentals
+    autoscaler = world.controllers["n0"].autoscaler
+    settings = world.controllers["n0"].settings
     calls = []
-    rentals.release = lambda names: not calls.append(names)
+    autoscaler.releaser.release = lambda names: not calls.append(names)
     now = time.monotonic()
     for tick in range(60):  # one becomes idle each second
-        rentals._spare([Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")], now + tick)
-    pause_s = rentals.settings.controllers / (SPARE_SHARE * rentals.settings.cloud_rps)
+        surplus = [Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")]
+        autoscaler.scale_in.release(surplus, now + tick)
+    pause_s = settings.controllers / (scale_in.CALLS_SHARE * settings.cloud_rps)
     assert 0.5 * 60 / pause_s <= len(calls) <= 60 / pause_s + 1
     assert all(len(names) == 2 for names in calls)
 
@@ -171,11 +175,12 @@
     command_dispatcher._connect = Client
     command_dispatcher._clients.clear()
     for number in range(500):
-        command_dispatcher._put((f"vm-{number}", "north", ("10.0.0.1", number), 1), command_dispatcher._silent)
+        target = CommandTarget(f"vm-{number}", "north", ("10.0.0.1", number), 1)
+        command_dispatcher._put(target, command_dispatcher._silent)
     assert command_dispatcher._silent.qsize() == 500  # none is left out
     while command_dispatcher.send_next():
         pass
-    kept = connection_limits.kept(command_dispatcher.settings)
+    kept = connection_limits.kept(world.controllers["n0"].settings)
     assert len(command_dispatcher._clients) == kept and len(closed) == 500 - kept
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -16,6 +16,8 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Machine, commands_for
 from tidebend.cluster_state.record_chunks import ChunkIndex
+from tidebend.controller.autoscaling.leadership import Leadership
+from tidebend.controller.autoscaling.tracked_machines import FleetView
 from tidebend.controller.records.completions import ProvenCompletions
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
@@ -231,19 +233,20 @@
 
 
 def test_an_answer_to_direct_commands_shows_that_a_machine_lives_for_a_lease_at_most(world):
-    rentals = world.controllers["n0"].rentals
-    assert rentals._silent_since(machine_with(last_heartbeat=50.0, last_direct_answer=55.0), 52.0) == 55.0
-    assert rentals._silent_since(machine_with(last_heartbeat=50.0, last_direct_answer=90.0), 52.0) == 62.0
+    machines = world.controllers["n0"].autoscaler.unresponsive_machines
+    assert machines._last_contact(machine_with(last_heartbeat=50.0, last_direct_answer=55.0), 52.0) == 55.0
+    assert machines._last_contact(machine_with(last_heartbeat=50.0, last_direct_answer=90.0), 52.0) == 62.0
 
 
 def test_a_rental_name_is_not_used_again_when_the_same_term_comes_back(world):
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None)
-    leader.rentals._counter = 5
+    provisioner = leader.autoscaler.scale_out.provisioner
+    provisioner._request_count = 5
     until, leader.coordinator.lease_until = leader.coordinator.lease_until, -1e9
-    leader.rentals.scale_once()
+    leader.autoscaler.scale_once()
     leader.coordinator.lease_until = until
-    leader.rentals.scale_once()
-    assert leader.coordinator.term is not None and leader.rentals._counter >= 5
+    leader.autoscaler.scale_once()
+    assert leader.coordinator.term is not None and provisioner._request_count >= 5
 
 
 def test_nothing_is_cleared_while_a_late_start_could_run_it_again():
@@ -478,32 +481,35 @@
 
 
 def test_a_kind_that_cannot_be_had_does_not_take_the_calls_of_one_that_can(world, monkeypatch):
-    leader = next(c for c in world.controllers.values() if c.coordinator.term is not None).rentals
-    box = leader.types["box"]
+    leader = next(c for c in world.controllers.values() if c.coordinator.term is not None)
+    scale_out, inventory = leader.autoscaler.scale_out, leader.autoscaler.inventory
+    box = leader.autoscaler.types["box"]
     scarce, plenty = Offer(box, "north", True), Offer(box, "north", False)
     monkeypatch.setattr(
-        "tidebend.controller.autoscaling.rentals.to_rent", lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)]
+        "tidebend.controller.autoscaling.scale_out.to_rent",
+        lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)],
     )
     asked = []
-    leader._order = lambda term, offer, machines: asked.append(offer)
-    leader._refused(scarce, time.monotonic())
-    leader._lead_since = (leader.coordinator.term, time.monotonic() - 10.0)
-    leader._rent(leader.coordinator.term, {}, time.monotonic())
+    scale_out.provisioner.provision = lambda term, offer, machines: asked.append(offer)
+    scale_out.provisioner.backoff.record_shortage(scarce, time.monotonic())
+    inventory.machines, inventory.as_of = {}, time.monotonic()
+    view = FleetView.collect(leader.settings, leader.coordinator, leader.peer_exchange, leader.machine_registry)
+    scale_out.run(Leadership(leader.coordinator.term, time.monotonic() - 10.0), inventory, view)
     assert asked == [plenty, scarce]
 
 
 @pytest.mark.parametrize(("held", "released"), [(["north.0"], []), ([], ["vm-000000"])])
 def test_a_zone_is_left_alone_only_if_its_controller_holds_its_block(world, held, released):
     """A controller that was cut off before it learnt of its grant answers nobody: its zone is given up soon."""
-    rentals = world.controllers["n1"].rentals
+    controller = world.controllers["n1"]
     now = time.monotonic()
-    rentals.coordinator._at_home["north.0"] = ("n0", now)
-    rentals.coordinator.cache.apply([("tidebend/live/node/n0", None, 10**6)])
-    rentals.coordinator.is_unreachable_by_all = lambda shard: True
-    rentals.peer_exchange.peers["n0"].shards = frozenset(held)
+    controller.coordinator._at_home["north.0"] = ("n0", now)
+    controller.coordinator.cache.apply([("tidebend/live/node/n0", None, 10**6)])
+    controller.coordinator.is_unreachable_by_all = lambda shard: True
+    controller.peer_exchange.peers["n0"].shards = frozenset(held)
     given_up = []
-    rentals.release = given_up.extend
-    rentals._silent("north.0", {"vm-000000": now - 6.0}, 1, now)
+    controller.autoscaler.releaser.release = given_up.extend
+    controller.autoscaler.unresponsive_machines._release_overdue("north.0", {"vm-000000": now - 6.0}, 1, now)
     assert given_up == released
 
 
@@ -530,14 +536,15 @@
     assert allocation(first, "a", "vm-000100", 1) is not None
     assert allocation(first, "g", "vm-000101", 1) is not None
     given_up = []
-    first.rentals.release = lambda names: given_up.append(sorted(names))
+    evacuation = first.autoscaler.evacuation
+    first.autoscaler.releaser.release = lambda names: given_up.append(sorted(names))
     now = time.monotonic()
     silent = {"vm-000100": now - 30.0, "vm-000101": now - 30.0}
-    first.rentals._move_out(silent, now - 1.0, now)
+    evacuation.evacuate(silent, now - 1.0, now)
     assert given_up == [["vm-000100"]]
     worth = first.settings.knobs.keep_idle * (10.0 + 20.0)  # the stand-in's boot and fetch
-    first.rentals._leave_at = now  # its next turn
-    first.rentals._move_out(silent, now - worth - 1.0, now)
+    evacuation._next_turn_at = now  # its next turn
+    evacuation.evacuate(silent, now - worth - 1.0, now)
     assert given_up[1] == ["vm-000100", "vm-000101"]
 
 
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -11,7 +11,7 @@
 from tests.test_answers import small
 from tests.test_meetings import leader_of
 from tests.test_scenarios import JOB
-from tidebend.controller.autoscaling.rentals import Rentals
+from tidebend.controller.autoscaling.cancelled_work import CancelledWorkReaper
 
 SERVICE = {"shape": "service", "pieces": 2, "reckonS": 0.0, "driftwood": False, "vcpus": 1.0}
 LONG = {"pieces": 4, "run_s": 300.0, "vcpus": 1.0}
@@ -94,7 +94,7 @@
 
 
 def test_without_a_release_in_the_outage_it_goes_on(monkeypatch):
-    monkeypatch.setattr(Rentals, "_release_overdue", lambda *_: None)
+    monkeypatch.setattr(CancelledWorkReaper, "release_unresponsive", lambda *_: None)
     assert {found[0] for found in cancelled_and_hanging(TIMES[0], 1.5, "outage")} == {"ran_cancelled"}
 
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -42,7 +42,7 @@
         if len(slept) == 5:
             controller.cache.catch_up(0.0, "claim")
         if len(slept) == 8:
-            controller.rentals.scale_once()
+            controller.autoscaler.scale_once()
 
     monkeypatch.setattr(time, "sleep", sleep)
     world.jobs["req-000001"] = {"id": "req-000001", **JOB}
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -129,9 +129,9 @@
 
 def test_what_others_gave_back_is_not_taken_for_silent(world):
     """A controller that came back from a cut took its zone for lost again by machines that were long gone."""
-    rentals = world.controllers["n0"].rentals
-    peer = rentals.peer_exchange.peers["n1"]
-    assert "vm-000000" in rentals.machine_registry.machines
+    controller = world.controllers["n0"]
+    peer = controller.peer_exchange.peers["n1"]
+    assert "vm-000000" in controller.machine_registry.machines
     peer.machines = [*(peer.machines or ()), ["vm-000000", "", "", 0, 1, "", 0, 0]]
-    rentals.check_machines_once()
-    assert "vm-000000" not in rentals.machine_registry.machines
+    controller.autoscaler.check_machines_once()
+    assert "vm-000000" not in controller.machine_registry.machines
--- a/tidebend/controller/autoscaling/machine_inventory.py
+++ b/tidebend/controller/autoscaling/machine_inventory.py
@@ -1,65 +1,82 @@
-"""The cloud's list of machines, read page by page as calls are to be had."""
+"""The cloud's list of machines, read page by page as the call budget allows."""
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable
-from typing import Any
 
 from tidebend import protocol
+from tidebend.controller.autoscaling.cloud_client import CloudResponse
 from tidebend.protocol import ListedMachine
 
-# the most that the protocol allows
-PAGE = 500
-# A list that is late by seconds isn't asked for each second: the calls are needed for rentals. So it is read once in
-# this share of its lag, and however many pages it has, they take no more than this share of the calls.
+# machines on a page; the most that the protocol allows
+PAGE_SIZE = 500
+# A list that lags by seconds isn't read each second: the calls are needed for scaling out. So it is read once in this
+# share of its lag, and however many pages it has, they take no more than this share of the calls.
 LAG_SHARE = 0.25
 CALLS_SHARE = 0.25
-# what must be left of a second's calls after a page is read; a list that is overdue is read all the same
-FLOOR = 0.2
-OVERDUE = 2.0
+# The share of a second's calls that must be left after a page is read. A list that is this many times as old as it
+# should be is read all the same.
+CALL_RESERVE = 0.2
+OVERDUE_FACTOR = 2.0
 
 
 class MachineInventory:
-    """Keeps its place in a list of several pages.
+    """Reads the list of machines, and resumes where the call budget ran out.
 
-    Guards against a fleet of one machine more than a page holds: where calls are few its second page was refused each
-    time, the first was thrown away with it, and without a list nothing was rented. Pages of one list may be read
-    seconds apart: each machine stands in one of them, and the whole is as old as the first.
+    Without resuming, a fleet of one machine more than a page holds could not be read where calls are few: the second
+    page was refused each time, the first was thrown away with it, and without a list no machine was provisioned. Pages
+    of one list may be read seconds apart: each machine is on one of them, and the list is as old as its first page.
     """
 
-    def __init__(self, call: Callable[..., tuple[int, Any] | None], lag_s: float, calls_per_s: float) -> None:
+    def __init__(self, call: Callable[..., CloudResponse | None], lag_s: float, calls_per_s: float) -> None:
+        """`call` is `CloudClient.call`; `lag_s` is how late the list may be at the cloud."""
         self._call = call
-        self._least_pause_s = LAG_SHARE * lag_s
+        self._min_interval_s = LAG_SHARE * lag_s
         self._calls_per_s = calls_per_s
         self.reset()
 
     def reset(self) -> None:
-        self.whole: dict[str, ListedMachine] | None = None  # the last list that was read to its end
-        self.as_of = -1e9  # steady time at which its reading began
-        self._pages = 1
-        self._found: dict[str, ListedMachine] = {}
-        self._after = ""
-        self._read = 0
-        self._began = -1e9
+        """Forget all that was read."""
+        self.machines: dict[str, ListedMachine] | None = None  # the last list that was read to its end
+        self.as_of = -math.inf  # steady time at which its reading began
+        self._page_count = 1
+        self._start_list()
 
-    def _overdue(self, now: float, times: float) -> bool:
-        return now - self.as_of >= times * max(self._least_pause_s, self._pages / (CALLS_SHARE * self._calls_per_s))
+    def _start_list(self) -> None:
+        self._partial: dict[str, ListedMachine] = {}
+        self._last_name = ""
+        self._pages_read = 0
+        self._began_at = -math.inf
+
+    def _is_due(self, now: float, factor: float) -> bool:
+        interval_s = max(self._min_interval_s, self._page_count / (CALLS_SHARE * self._calls_per_s))
+        return now - self.as_of >= factor * interval_s
 
     def read(self, now: float) -> None:
-        """Go on reading, from where calls ran out last time; raises Invalid for an answer that can't be read."""
-        while self._read or self._overdue(now, 1.0):
-            floor = 0.0 if self.whole is None or self._overdue(now, OVERDUE) else FLOOR
-            answer = self._call("GET", protocol.list_path(self._after, PAGE), None, floor)
-            if answer is None or answer[0] != 200:
+        """Read on while the call budget allows; raises Invalid for a response that can't be read.
+
+        Nothing is read while the last list is recent enough.
+        """
+        while self._pages_read or self._is_due(now, 1.0):
+            if not self._read_page(now):
                 return
-            rows, more = protocol.parse_listed(answer[1])
-            if not self._read:
-                self._began = now
-            self._read += 1
-            self._found.update((row.name, row) for row in rows)
-            if more and rows:
-                self._after = rows[-1].name
-                continue
-            self.whole, self.as_of, self._pages = self._found, self._began, self._read
-            self._found, self._after, self._read = {}, "", 0
-            return
+
+    def _read_page(self, now: float) -> bool:
+        """Whether a page was read and others follow it."""
+        is_urgent = self.machines is None or self._is_due(now, OVERDUE_FACTOR)
+        reserve = 0.0 if is_urgent else CALL_RESERVE
+        response = self._call("GET", protocol.list_path(self._last_name, PAGE_SIZE), None, reserve)
+        if response is None or not response.ok:
+            return False
+        rows, has_more = protocol.parse_listed(response.body)
+        if not self._pages_read:
+            self._began_at = now
+        self._pages_read += 1
+        self._partial.update((row.name, row) for row in rows)
+        if has_more and rows:
+            self._last_name = rows[-1].name
+            return True
+        self.machines, self.as_of, self._page_count = self._partial, self._began_at, self._pages_read
+        self._start_list()
+        return False
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -16,12 +16,13 @@
 from tidebend.cluster_state.record_chunks import CHUNK
 from tidebend.controller import connection_limits
 from tidebend.controller.api.job_api import JobApi
-from tidebend.controller.autoscaling.rentals import Rentals
+from tidebend.controller.autoscaling.autoscaler import Autoscaler
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import RecordLimits
 from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
-from tidebend.controller.workers.heartbeats import CommandDispatcher, HeartbeatHandler
+from tidebend.controller.workers.command_dispatcher import CommandDispatcher
+from tidebend.controller.workers.heartbeats import HeartbeatHandler
 from tidebend.controller.workers.zone_probe import ZoneProbe
 from tidebend.coordination import Coordinator, PeerExchange, shard_of
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
@@ -56,12 +57,24 @@
             self.state, self._changed, lock, watch_s=settings.controller_lease_s / 4.0, retry_s=0.1 * settings.lease_s
         )
         self.machine_registry = MachineRegistry()
-        self.command_dispatcher = CommandDispatcher(
-            settings, self.job_cache, self.machine_registry, lambda: self.planner.wake(), connect
-        )
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
         self.coordinator = Coordinator(
-            settings, self.state, self.cache, self.command_dispatcher.on_shard_acquired, self.schema_version
+            settings,
+            self.state,
+            self.cache,
+            # looked up when it is called: the dispatcher itself needs the coordinator
+            lambda grant: self.command_dispatcher.on_shard_acquired(grant),
+            self.schema_version,
+        )
+        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
+        self.command_dispatcher = CommandDispatcher(
+            settings,
+            self.job_cache,
+            self.machine_registry,
+            self.coordinator,
+            self.peer_exchange,
+            lambda: self.planner.wake(),
+            connect,
         )
         self.quota_rebalancer = QuotaRebalancer(
             settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
@@ -78,15 +91,10 @@
             self._types,
             self.command_dispatcher.send,
         )
-        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
-        self.command_dispatcher.coordinator, self.command_dispatcher.peer_exchange = (
-            self.coordinator,
-            self.peer_exchange,
-        )
         self.planner.completions.peers_crash_looping = self.peer_exchange.is_crash_looping
         self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
         self.zone_probe = ZoneProbe(settings, self.coordinator, self.peer_exchange, self.machine_registry, connect)
-        self.rentals = Rentals(
+        self.autoscaler = Autoscaler(
             settings,
             self.coordinator,
             self.peer_exchange,
@@ -119,7 +127,7 @@
         )
 
     def _types(self) -> dict[str, protocol.MachineType]:
-        return self.rentals.types
+        return self.autoscaler.types
 
     def _changed(self, key: str, value: Any, version: int) -> None:
         self.job_cache.on_change(key, value, version)
@@ -139,7 +147,7 @@
             for m in self.machine_registry.all()
             if not m.draining and not m.releasing and self.coordinator.grant(shard_of(m.zone))
         ]
-        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.recently_released)]
+        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.autoscaler.recently_released)]
         frame = {
             "from": self.settings.name,
             "state_contact": time.time() - self.cache.age_s,
@@ -152,7 +160,7 @@
         return frame
 
     def _knows(self) -> bool:
-        return self.cache.loaded.is_set() and bool(self.rentals.types)
+        return self.cache.loaded.is_set() and bool(self.autoscaler.types)
 
     def _first_read(self) -> None:
         """Wait for it, if it is under way.
@@ -219,7 +227,7 @@
         if self.settings.peers:
             self.zone_probe.start()
         self.planner.start()
-        self.rentals.start()
+        self.autoscaler.start()
 
     def start(self) -> Server:
         server = Server(
--- /dev/null
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -0,0 +1,231 @@
+"""Direct commands: starts and stops reach a worker at once, not only in the answer to its next report."""
+
+from __future__ import annotations
+
+import contextlib
+import logging
+import queue
+import threading
+import time
+from collections import OrderedDict
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from tidebend import protocol
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry, cancelled_stops, commands_for
+from tidebend.controller import connection_limits
+from tidebend.controller.workers.heartbeats import MAX_COMMANDS
+from tidebend.controller.workers.peer_machines import machines_of
+from tidebend.coordination import Coordinator, PeerExchange, ShardGrant, shard_of
+from tidebend.protocol import Command, Invalid
+from tidebend.settings import Settings
+from tidebend.threads import start_daemon
+from tidebend.transport import HttpClient, NoAnswer, Unreachable
+
+log = logging.getLogger("workers")
+
+# threads for machines that are in contact
+RESPONSIVE_THREADS = 3
+# a machine counts as silent once its last contact is so many report intervals ago
+SILENT_REPORTS = 2.0
+MAX_TIMEOUT_S = 2.0
+
+
+class CommandTarget(NamedTuple):
+    """A worker to which commands are to be sent."""
+
+    machine: str
+    zone: str
+    address: tuple[str, int]  # host, port
+    session: int
+
+
+class _Request(NamedTuple):
+    """Commands for a worker, under the token with which they are sent."""
+
+    token: int
+    session: int
+    commands: list[Command]
+
+    @property
+    def starts(self) -> set[tuple[str, int, int]]:
+        """Job, index and attempt of each task that is to start."""
+        return {(command.job, command.index, command.attempt) for command in self.commands if command.op == "start"}
+
+
+class CommandDispatcher:
+    """Sends commands to workers on threads of its own; each machine waits in a queue once at most."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
+        coordinator: Coordinator,
+        peer_exchange: PeerExchange,
+        wake_scheduler: Callable[[], None],
+        connect: Callable[..., HttpClient] = HttpClient,
+    ) -> None:
+        """`wake_scheduler` is called when an answer has brought a machine's latest report."""
+        self._settings = settings
+        self._job_cache = job_cache
+        self._machine_registry = machine_registry
+        self._coordinator = coordinator
+        self._peer_exchange = peer_exchange
+        self._wake_scheduler = wake_scheduler
+        self._connect = connect
+        # Two queues, so that commands for responsive machines don't wait behind time-outs: when a zone is cut off,
+        # dozens of machines are silent at a time.
+        self._responsive: queue.Queue[CommandTarget] = queue.Queue()
+        self._silent: queue.Queue[CommandTarget] = queue.Queue()
+        self._queued: set[str] = set()  # names of the machines in either queue
+        self._clients: OrderedDict[tuple[str, int], HttpClient] = OrderedDict()  # the least recently used first
+        self._lock = threading.Lock()
+        self._timeout_s = min(MAX_TIMEOUT_S, settings.report_s)
+
+    def start(self) -> None:
+        """Start the threads of both queues."""
+        for number in range(RESPONSIVE_THREADS + connection_limits.asking(self._settings)):
+            targets = self._responsive if number < RESPONSIVE_THREADS else self._silent
+            start_daemon(f"dispatch-{number}", self._run, targets)
+
+    def send(self, names: set[str]) -> None:
+        """Have the commands that follow from these machines' recorded allocations and stops sent."""
+        for name in sorted(names):
+            with self._machine_registry.lock:
+                machine = self._machine_registry.machines.get(name)
+                if machine is None or machine.address is None:
+                    continue
+                target = CommandTarget(name, machine.zone, machine.address, machine.session)
+                is_silent = self._is_silent(max(machine.last_heartbeat, machine.last_direct_answer))
+            self._put(target, self._silent if is_silent else self._responsive)
+
+    def _is_silent(self, last_contact: float) -> bool:
+        return time.monotonic() - last_contact > SILENT_REPORTS * self._settings.report_s
+
+    def _put(self, target: CommandTarget, targets: queue.Queue[CommandTarget]) -> None:
+        with self._lock:
+            if target.machine in self._queued:
+                return
+            self._queued.add(target.machine)
+        targets.put_nowait(target)
+
+    def on_shard_acquired(self, grant: ShardGrant) -> None:
+        """Let the workers of a shard that we hold from now on learn the token, as far as we or our peers know them."""
+        targets = {
+            machine.name: CommandTarget(machine.name, machine.zone, machine.address, machine.session)
+            for machine in self._machine_registry.all()
+            if shard_of(machine.zone) == grant.shard and machine.address is not None
+        }
+        for peer in self._peer_exchange.peers.values():
+            for row in machines_of(peer):
+                if not row.released and shard_of(row.zone) == grant.shard and row.host:
+                    target = CommandTarget(row.name, row.zone, (row.host, row.port), row.session)
+                    targets.setdefault(row.name, target)
+        for target in targets.values():
+            self._put(target, self._silent)  # whether they can be reached from here is what we want to know
+
+    def _run(self, targets: queue.Queue[CommandTarget]) -> None:
+        while True:
+            try:
+                self._serve(targets.get())
+            except Exception:
+                log.exception("direct commands")
+
+    def send_next(self) -> bool:
+        """Send one machine's commands on the caller's thread; False if none are waiting."""
+        for targets in (self._responsive, self._silent):
+            with contextlib.suppress(queue.Empty):
+                self._serve(targets.get_nowait())
+                return True
+        return False
+
+    def _serve(self, target: CommandTarget) -> None:
+        client = self._take(target)
+        request = self._request(target)
+        if request is not None:
+            self._send(target.machine, request, client)
+
+    def _take(self, target: CommandTarget) -> HttpClient:
+        """Take a target off its queue; returns a client for it, and closes the least recently used one if need be."""
+        with self._lock:
+            self._queued.discard(target.machine)
+            client = self._clients.get(target.address)
+            if client is None:
+                client = self._clients[target.address] = self._connect(target.address, keep=1)
+            self._clients.move_to_end(target.address)
+            has_too_many = len(self._clients) > connection_limits.kept(self._settings)
+            oldest = self._clients.popitem(last=False)[1] if has_too_many else None
+        if oldest is not None:
+            oldest.close()
+        return client
+
+    def _request(self, target: CommandTarget) -> _Request | None:
+        """What is to be sent to a worker now, if anything; a request without commands lets it learn our token."""
+        grant = self._coordinator.grant(shard_of(target.zone))
+        if grant is None:
+            return None
+        lease_valid = self._coordinator.lease_valid
+        with self._machine_registry.lock:
+            machine = self._machine_registry.machines.get(target.machine)
+            if machine is None:
+                commands: list[Command] = []
+                session, knows_token = target.session, False
+            else:
+                commands = self._commands(machine, grant.token, lease_valid)
+                session = machine.session
+                knows_token = machine.token >= grant.token and not self._is_silent(machine.last_heartbeat)
+        # without a lease nothing but stops of cancelled tasks is sent, not even our token
+        if not commands and (not lease_valid or knows_token):
+            return None
+        return _Request(grant.token, session, commands)
+
+    def _commands(self, machine: Machine, token: int, lease_valid: bool) -> list[Command]:
+        """The commands for a machine; called under the machine registry's lock."""
+        if machine.token > token:
+            return []
+        allocations = self._job_cache.on_machine(machine.name)
+        if lease_valid:
+            commands = commands_for(machine, allocations, token, direct=True)
+        else:
+            commands = cancelled_stops(machine, allocations)
+        return commands[:MAX_COMMANDS]
+
+    def _send(self, name: str, request: _Request, client: HttpClient) -> None:
+        path, body = protocol.direct_commands(request.token, request.session, request.commands)
+        try:
+            status, answer = client.request("POST", path, body, self._timeout_s)
+        except Unreachable:
+            self._settle_starts(name, request)
+            return
+        except NoAnswer as error:
+            log.info("direct commands to %s: %s", name, error)
+            return  # they may be executed yet: the outcome of the starts stays uncertain
+        if status not in (200, 409):
+            log.error("machine %s: unexpected %s to direct commands", name, status)
+            return
+        self._record_answer(name, request, answer)
+
+    def _record_answer(self, name: str, request: _Request, answer: Any) -> None:
+        try:
+            report = protocol.parse_report(answer)
+        except Invalid as error:
+            log.error("machine %s: unexpected answer: %s", name, error)
+            return
+        with self._machine_registry.lock:
+            machine = self._machine_registry.record_heartbeat(report, direct=True)
+        self._settle_starts(name, request)
+        if machine is not None:
+            self._wake_scheduler()
+
+    def _settle_starts(self, name: str, request: _Request) -> None:
+        """Record that the outcome of a request's starts is known: they were executed, or never will be."""
+        with self._machine_registry.lock:
+            machine = self._machine_registry.machines.get(name)
+            if machine is None:
+                return
+            for key in request.starts:
+                token, _ = machine.uncertain_starts.get(key, (0, 0.0))
+                if token == request.token:
+                    del machine.uncertain_starts[key]
