--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -176,8 +176,8 @@
     command_dispatcher._clients.clear()
     for number in range(500):
         target = CommandTarget(f"vm-{number}", "north", ("10.0.0.1", number), 1)
-        command_dispatcher._put(target, command_dispatcher._silent)
-    assert command_dispatcher._silent.qsize() == 500  # none is left out
+        command_dispatcher._put(target, command_dispatcher._unresponsive)
+    assert command_dispatcher._unresponsive.qsize() == 500  # none is left out
     while command_dispatcher.send_next():
         pass
     kept = connection_limits.kept(world.controllers["n0"].settings)
--- a/tidebend/controller/autoscaling/__init__.py
+++ b/tidebend/controller/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Machines rented from the cloud and returned to it."""
+"""The autoscaler: provisions machines at the cloud and releases them."""
--- a/tidebend/controller/autoscaling/autoscaler.py
+++ b/tidebend/controller/autoscaling/autoscaler.py
@@ -134,7 +134,7 @@
 
     @property
     def recently_released(self) -> dict[str, float]:
-        """Machines that peers are to be told of: name -> steady time of the release."""
+        """Machines that peers are to be informed of: name -> steady time of the release."""
         return self.releaser.recently_released
 
     def start(self) -> None:
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -22,7 +22,7 @@
 
 # the cloud takes so many names in one release
 MAX_NAMES = 100
-# peers are told of a release for so many of the workers' leases
+# peers are informed of a release for so many of the workers' leases
 ANNOUNCED_LEASES = 6
 # A released machine is remembered, so that nothing late counts as news of it, for so many of the workers' leases and of
 # the list's lags. Copies of reports come up to two leases late.
@@ -47,7 +47,7 @@
         wake_scheduler: Callable[[], None],
     ) -> None:
         """`wake_scheduler` is called when allocations have been cleared, so that their tasks are placed again."""
-        self.recently_released: dict[str, float] = {}  # name -> steady time; what peers are told of
+        self.recently_released: dict[str, float] = {}  # name -> steady time; what peers are informed of
         self._cloud = cloud
         self._tracked_machines = tracked_machines
         self._machine_registry = machine_registry
@@ -81,7 +81,7 @@
         if response.ok:
             return names
         if response.status == HTTPStatus.CONFLICT:
-            # a provider that can't prove it of all machines: those that it names are gone
+            # a provider that can't prove it of all machines: it confirms those that it names
             return [name for name in protocol.parse_rented(response.body) if name in names]
         return []
 
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -19,7 +19,7 @@
 from tidebend.scheduling import Amount, TaskRequest, need_of
 from tidebend.settings import Settings
 
-# a new leader provisions nothing for so many seconds, until it has read the list and heard from its peers
+# a new leader provisions nothing for so many seconds, until it has read the list and its peers' frames
 SETTLE_S = 1.5
 # machines in one request; the most that the protocol allows
 MAX_PER_REQUEST = 50
@@ -65,7 +65,7 @@
         overdue = self._release_unusable(inventory, view, now)
         if now - leadership.since < SETTLE_S:
             return
-        # what is provisioned in a zone that nobody can reach can't be used, nor what stands there
+        # what is provisioned in a zone that nobody can reach can't be used, nor what is there already
         unreachable = {zone for zone in self._settings.zones if self._coordinator.is_unreachable_by_all(shard_of(zone))}
         excluded = view.released.union(overdue)
         capacities = self._capacities(view.reporting, excluded, unreachable, now, clock)
--- a/tidebend/controller/autoscaling/tracked_machines.py
+++ b/tidebend/controller/autoscaling/tracked_machines.py
@@ -4,7 +4,6 @@
 
 import time
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.autoscaling.machine_inventory import MachineInventory
@@ -19,7 +18,7 @@
 # the list of machines may be late by so many times its nominal lag
 LAG_FACTOR = 2.0
 # a listed machine whose worker reports to nobody is released after so many of the workers' leases
-UNHEARD_LEASES = 2.0
+UNREPORTED_LEASES = 2.0
 # a peer's news count as current for so many intervals of the peer exchange
 FRESH_EXCHANGES = 3.0
 
@@ -34,7 +33,8 @@
     since: float  # steady time at which it was provisioned, or first known
 
 
-class FleetView(NamedTuple):
+@dataclass(frozen=True)
+class FleetView:
     """What all controllers together know of the fleet."""
 
     reporting: dict[str, TrackedMachine]  # machines that report to some shard holder, by name
@@ -51,23 +51,25 @@
     ) -> FleetView:
         """The view from our own registry and the peers' latest news."""
         now = time.monotonic()
-        view = cls({}, set(machine_registry.released_at), {grant.shard for grant in coordinator.grants()})
+        reporting: dict[str, TrackedMachine] = {}
+        released = set(machine_registry.released_at)
+        monitored_shards = {grant.shard for grant in coordinator.grants()}
         for machine in machine_registry.all():
             if not machine.draining and not machine.releasing:
-                view.reporting[machine.name] = TrackedMachine(
+                reporting[machine.name] = TrackedMachine(
                     machine.type, machine.zone, machine.spot, machine.first_heartbeat
                 )
         for peer in peer_exchange.peers.values():
             if now - peer.at < FRESH_EXCHANGES * peer_exchange.pause:
-                view.monitored_shards.update(peer.shards)
+                monitored_shards.update(peer.shards)
             if now - peer.at > settings.lease_s:
                 continue
             for row in machines_of(peer):
                 if row.released:
-                    view.released.add(row.name)
+                    released.add(row.name)
                 else:
-                    view.reporting[row.name] = TrackedMachine(row.type, row.zone, bool(row.spot), now)
-        return view
+                    reporting[row.name] = TrackedMachine(row.type, row.zone, bool(row.spot), now)
+        return cls(reporting, released, monitored_shards)
 
 
 class TrackedMachines:
@@ -80,7 +82,7 @@
         self._max_lag_s = LAG_FACTOR * settings.list_lag_s
         self._cloud_timeout_s = cloud_timeout_s
         self._machines: dict[str, TrackedMachine] = {}
-        self._unheard_since: dict[str, float] = {}  # name -> steady time since which it is up and reports to nobody
+        self._unreported_since: dict[str, float] = {}  # name -> steady time since which it is up and reports to nobody
 
     def add(self, name: str, machine: TrackedMachine) -> None:
         """Track a machine that was just provisioned."""
@@ -118,7 +120,7 @@
         self, name: str, machine: TrackedMachine, row: ListedMachine | None, view: FleetView, now: float
     ) -> bool:
         if name in view.reporting:
-            self._unheard_since.pop(name, None)
+            self._unreported_since.pop(name, None)
             return False
         if row is None or row.state != "running":
             machine_type = self._machine_types.by_name.get(machine.type)
@@ -127,7 +129,7 @@
         # Up by the list, but it reports to nobody we know of. Only its shard's holder can tell whether that is so:
         # without current news of the holder nothing follows from our not knowing.
         if shard_of(machine.zone) not in view.monitored_shards:
-            self._unheard_since.pop(name, None)
+            self._unreported_since.pop(name, None)
             return False
-        since = self._unheard_since.setdefault(name, now)
-        return now - since > UNHEARD_LEASES * self._settings.lease_s
+        since = self._unreported_since.setdefault(name, now)
+        return now - since > UNREPORTED_LEASES * self._settings.lease_s
--- a/tidebend/controller/workers/__init__.py
+++ b/tidebend/controller/workers/__init__.py
@@ -1,1 +1,1 @@
-"""What passes between a controller and its workers: heartbeats, commands and probes."""
+"""Traffic between a controller and its workers: heartbeats, direct commands and probes."""
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -27,8 +27,8 @@
 
 # threads for machines that are in contact
 RESPONSIVE_THREADS = 3
-# a machine counts as silent once its last contact is so many report intervals ago
-SILENT_REPORTS = 2.0
+# a machine counts as unresponsive once its last contact is so many report intervals ago
+UNRESPONSIVE_REPORTS = 2.0
 MAX_TIMEOUT_S = 2.0
 
 
@@ -76,9 +76,9 @@
         self._wake_scheduler = wake_scheduler
         self._connect = connect
         # Two queues, so that commands for responsive machines don't wait behind time-outs: when a zone is cut off,
-        # dozens of machines are silent at a time.
+        # dozens of machines are unresponsive at a time.
         self._responsive: queue.Queue[CommandTarget] = queue.Queue()
-        self._silent: queue.Queue[CommandTarget] = queue.Queue()
+        self._unresponsive: queue.Queue[CommandTarget] = queue.Queue()
         self._queued: set[str] = set()  # names of the machines in either queue
         self._clients: OrderedDict[tuple[str, int], HttpClient] = OrderedDict()  # the least recently used first
         self._lock = threading.Lock()
@@ -87,7 +87,7 @@
     def start(self) -> None:
         """Start the threads of both queues."""
         for number in range(RESPONSIVE_THREADS + connection_limits.asking(self._settings)):
-            targets = self._responsive if number < RESPONSIVE_THREADS else self._silent
+            targets = self._responsive if number < RESPONSIVE_THREADS else self._unresponsive
             start_daemon(f"dispatch-{number}", self._run, targets)
 
     def send(self, names: set[str]) -> None:
@@ -98,11 +98,11 @@
                 if machine is None or machine.address is None:
                     continue
                 target = CommandTarget(name, machine.zone, machine.address, machine.session)
-                is_silent = self._is_silent(max(machine.last_heartbeat, machine.last_direct_answer))
-            self._put(target, self._silent if is_silent else self._responsive)
+                is_unresponsive = self._is_unresponsive(max(machine.last_heartbeat, machine.last_direct_answer))
+            self._put(target, self._unresponsive if is_unresponsive else self._responsive)
 
-    def _is_silent(self, last_contact: float) -> bool:
-        return time.monotonic() - last_contact > SILENT_REPORTS * self._settings.report_s
+    def _is_unresponsive(self, last_contact: float) -> bool:
+        return time.monotonic() - last_contact > UNRESPONSIVE_REPORTS * self._settings.report_s
 
     def _put(self, target: CommandTarget, targets: queue.Queue[CommandTarget]) -> None:
         with self._lock:
@@ -124,7 +124,7 @@
                     target = CommandTarget(row.name, row.zone, (row.host, row.port), row.session)
                     targets.setdefault(row.name, target)
         for target in targets.values():
-            self._put(target, self._silent)  # whether they can be reached from here is what we want to know
+            self._put(target, self._unresponsive)  # whether they can be reached from here is what we want to know
 
     def _run(self, targets: queue.Queue[CommandTarget]) -> None:
         while True:
@@ -135,7 +135,7 @@
 
     def send_next(self) -> bool:
         """Send one machine's commands on the caller's thread; False if none are waiting."""
-        for targets in (self._responsive, self._silent):
+        for targets in (self._responsive, self._unresponsive):
             with contextlib.suppress(queue.Empty):
                 self._serve(targets.get_nowait())
                 return True
@@ -175,7 +175,7 @@
             else:
                 commands = self._commands(machine, grant.token, lease_valid)
                 session = machine.session
-                knows_token = machine.token >= grant.token and not self._is_silent(machine.last_heartbeat)
+                knows_token = machine.token >= grant.token and not self._is_unresponsive(machine.last_heartbeat)
         # without a lease nothing but stops of cancelled tasks is sent, not even our token
         if not commands and (not lease_valid or knows_token):
             return None
