--- a/lab/search.py
+++ b/lab/search.py
@@ -17,7 +17,7 @@
 from lab.links import Cut
 from lab.play import cut_zone
 from lab.world import World
-from tidebend.cluster_state.machine_registry import Machine
+from tidebend.cluster_state.machine import Machine
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.records.completions import CompletionTracker, ProvenCompletions
 from tidebend.controller.scheduler.pending_jobs import PendingJobs
@@ -492,7 +492,7 @@
     """Nobody remembers which starts may still be carried out."""
     with (
         mock.patch.object(Machine, "can_no_longer_start", lambda self, key: True),
-        mock.patch.object(Machine, "may_be_cleared", lambda self, key: True),
+        mock.patch.object(Machine, "can_forget", lambda self, key: True),
     ):
         yield
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -14,8 +14,10 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import JOB as JOB_KEY
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, commands_for
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.reconciliation import commands_for
 from tidebend.cluster_state.record_chunks import ChunkIndex
+from tidebend.cluster_state.start_tracking import StartTracker, UncertainStart
 from tidebend.controller.records.completions import ProvenCompletions
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
@@ -249,7 +251,13 @@
 def test_nothing_is_cleared_while_a_late_start_could_run_it_again():
     ended = {("req-a", 0, 1): TaskReport("req-a", 0, 1, "ended", "done", False)}
     assert ops(machine_with(tasks=dict(ended)), []) == ["forget"]
-    assert ops(machine_with(tasks=dict(ended), uncertain_starts={("req-a", 0, 1): (5, 0.0)}), []) == []
+    assert (
+        ops(
+            machine_with(tasks=dict(ended), starts=StartTracker(uncertain={("req-a", 0, 1): UncertainStart(5, 0.0)})),
+            [],
+        )
+        == []
+    )
 
 
 # Records at size
@@ -544,13 +552,15 @@
 def test_what_was_started_directly_and_ended_is_not_cleared_before_a_higher_token_is_confirmed():
     """Its start may be carried out again: once the attempt is forgotten it would run beside what took its place."""
     machine = Machine("m", "box", "north", False, session=1, token=5)
-    machine.direct_starts = {("a", 0, 1): 5, ("a", 1, 1): 4, ("a", 2, 1): 5}
+    machine.starts.direct_tokens = {("a", 0, 1): 5, ("a", 1, 1): 4, ("a", 2, 1): 5}
     machine.tasks = {
         ("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False),
         ("a", 1, 1): TaskReport("a", 1, 1, "ended", "stopped", False),
         ("a", 2, 1): TaskReport("a", 2, 1, "ended", "done", False),
     }  # would only end again
     assert {(c.op, c.index) for c in commands_for(machine, [], 5, True)} == {("forget", 1), ("forget", 2)}
-    assert machine.kept_since is not None
+    assert machine.forgetting_deferred_since is not None
     machine.token = 6
-    assert ("forget", 0) in {(c.op, c.index) for c in commands_for(machine, [], 6, True)} and machine.kept_since is None
+    assert ("forget", 0) in {
+        (c.op, c.index) for c in commands_for(machine, [], 6, True)
+    } and machine.forgetting_deferred_since is None
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -1,38 +1,68 @@
-"""Tasks' places, and how records hold them."""
+"""Allocations of tasks to machines, and their form in records."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from typing import Any
 
 from tidebend.cluster_state.task_bitmap import from_text, to_text
 
+# allocations that share a session, an attempt, a time and a zone are stored as one group
+_GroupKey = tuple[int, int, float, str]
+
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """Tasks of a job that hold a place on a machine: from before their start is sent until proof of their end."""
+    """Tasks of a job that are allocated to a machine.
+
+    It is recorded before the start of the tasks is sent, and stays until their end is proven.
+    """
 
     machine: str
-    session: int
-    attempt: int
+    session: int  # the worker's session; a later one has killed all tasks of this one
+    attempt: int  # counts the allocation events of the job
     tasks: int  # bitmap
-    at: float  # time of day
+    at: float  # time of day at which it was recorded, in seconds
     zone: str
 
 
-def pack_claims(allocations: Iterable[Allocation]) -> list[list[Any]]:
-    """Claims of one event are alike but for machine and tasks: a job on hundreds of machines must fit one value."""
-    groups: dict[tuple[int, int, float, str], list[str]] = {}
+def pack_allocations(allocations: Iterable[Allocation]) -> list[list[Any]]:
+    """Return the form in records: `[session, attempt, time, zone, [machine, tasks, machine, tasks, ...]]` per group.
+
+    The allocations of one event differ only in machine and tasks. They are grouped because a job on hundreds of
+    machines must fit into one value of the state service.
+    """
+    groups: dict[_GroupKey, list[str]] = {}
     for allocation in allocations:
-        rows = groups.setdefault((allocation.session, allocation.attempt, round(allocation.at, 1), allocation.zone), [])
+        group = (allocation.session, allocation.attempt, round(allocation.at, 1), allocation.zone)
+        rows = groups.setdefault(group, [])
         rows += (allocation.machine, to_text(allocation.tasks))
-    return [[*common, rows] for common, rows in groups.items()]
+    return [[*group, rows] for group, rows in groups.items()]
 
 
-def unpack_claims(groups: list[list[Any]]) -> tuple[Allocation, ...]:
+def unpack_allocations(groups: Iterable[list[Any]]) -> tuple[Allocation, ...]:
+    """Read what `pack_allocations` wrote; raises ValueError for a malformed group."""
     return tuple(
         Allocation(machine, session, attempt, from_text(tasks), at, zone)
         for session, attempt, at, zone, rows in groups
         for machine, tasks in zip(rows[::2], rows[1::2], strict=True)
     )
+
+
+def shift_tasks(allocations: Iterable[Allocation], offset: int) -> Iterator[Allocation]:
+    """Yield the allocations with `offset` added to each task number; used between job and chunk numbering."""
+    for allocation in allocations:
+        tasks = allocation.tasks << offset if offset > 0 else allocation.tasks >> -offset
+        yield _with_tasks(allocation, tasks)
+
+
+def restrict_to(allocations: Iterable[Allocation], mask: int) -> tuple[Allocation, ...]:
+    """Return the parts of the allocations that lie within a bitmap of tasks; empty ones are left out."""
+    return tuple(
+        _with_tasks(allocation, allocation.tasks & mask) for allocation in allocations if allocation.tasks & mask
+    )
+
+
+def _with_tasks(allocation: Allocation, tasks: int) -> Allocation:
+    return Allocation(allocation.machine, allocation.session, allocation.attempt, tasks, allocation.at, allocation.zone)
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from tidebend.cluster_state.allocations import Allocation, pack_claims, unpack_claims
-from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, clipped
+from tidebend.cluster_state.allocations import Allocation, pack_allocations, restrict_to, unpack_allocations
+from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex
 from tidebend.cluster_state.task_bitmap import from_text, interval, members, to_text
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
@@ -122,7 +122,7 @@
         if self.done:
             value["done"] = to_text(self.done)
         if self.allocations:
-            value["claims"] = pack_claims(self.allocations)
+            value["claims"] = pack_allocations(self.allocations)
         return value
 
     @staticmethod
@@ -136,7 +136,7 @@
             value.get("started", 0),
             value.get("ended", 0),
             from_text(value.get("done", "")),
-            unpack_claims(value.get("claims", ())),
+            unpack_allocations(value.get("claims", ())),
             tuple(value.get("awaits", ())),
             value.get("ready"),
             bool(value.get("awaits")),
@@ -180,7 +180,7 @@
         assert self.chunks is not None
         mask = self.chunks.mask(number)
         old = dict(before.chunks.rows).get(number, Chunk()) if before.chunks else Chunk()
-        allocations = clipped(self.allocations, mask)
+        allocations = restrict_to(self.allocations, mask)
         left = {
             (allocation.machine, allocation.session, allocation.attempt): allocation.tasks for allocation in allocations
         }
--- /dev/null
+++ b/tidebend/cluster_state/reconciliation.py
@@ -0,0 +1,119 @@
+"""The commands for a worker, from the difference between recorded allocations and its last heartbeat.
+
+All functions are called under the machine registry's lock, with allocations that were read after the heartbeat came.
+"""
+
+from __future__ import annotations
+
+import time
+
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.keys import TaskKey
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.task_bitmap import members
+from tidebend.protocol import Command, TaskReport
+
+Allocations = list[tuple[Job, Allocation]]  # those on one machine, each with its job
+
+
+def stop_commands_for_cancelled(machine: Machine, allocations: Allocations) -> list[Command]:
+    """Return stop commands for the tasks of cancelled jobs.
+
+    A cancelled job stays cancelled whoever holds the shard by now. So these commands are safe with every fencing token
+    that the worker still accepts, also after our own lease has run out, when no other command may be sent.
+    """
+    return [
+        Command("stop", job.id, index, allocation.attempt, 0.0)
+        for job, allocation in allocations
+        if job.cancelled and allocation.session == machine.session
+        for index in members(allocation.tasks)
+        if (task := machine.tasks.get((job.id, index, allocation.attempt))) is not None and task.state != "ended"
+    ]
+
+
+def commands_for(machine: Machine, allocations: Allocations, token: int, direct: bool) -> list[Command]:
+    """Return the commands for a worker, stops first, and remember its starts.
+
+    `token` is the fencing token that the commands will carry; `direct` says that they aren't the answer to a heartbeat.
+
+    A start is repeated until the task is reported. This is safe: an attempt that is still allocated was never
+    forgotten by the worker, and so the worker runs it only once.
+    """
+    now = time.monotonic()
+    commands: list[Command] = []
+    allocated: set[TaskKey] = set()
+    for job, allocation in allocations:
+        if allocation.session == machine.session:
+            _add_commands_for_allocation(machine, job, allocation, commands, allocated)
+    _remember_starts(machine, commands, token, direct, now)
+    _discard_settled(machine, allocated)
+    commands += _commands_for_unallocated(machine, allocated, now)
+    # An answer holds a limited number of commands: stops don't wait behind hundreds of starts.
+    return sorted(commands, key=lambda command: command.op != "stop")
+
+
+def _add_commands_for_allocation(
+    machine: Machine, job: Job, allocation: Allocation, commands: list[Command], allocated: set[TaskKey]
+) -> None:
+    may_start = not job.cancelled and not machine.releasing
+    for index in members(allocation.tasks):
+        key = (job.id, index, allocation.attempt)
+        allocated.add(key)
+        task = machine.tasks.get(key)
+        if task is None:
+            if may_start and key not in machine.stop_requests:
+                commands.append(Command("start", *key))
+        elif task.state != "ended":
+            grace_s = 0.0 if job.cancelled else machine.stop_requests.get(key)
+            if grace_s is not None and not _is_saving_in_grace(task, grace_s):
+                commands.append(Command("stop", *key, grace_s))
+
+
+def _is_saving_in_grace(task: TaskReport, grace_s: float) -> bool:
+    """Whether a task is writing its checkpoint already, as a stop with grace asks it to."""
+    return task.state == "saving" and grace_s > 0
+
+
+def _remember_starts(machine: Machine, commands: list[Command], token: int, direct: bool, now: float) -> None:
+    for command in commands:
+        if command.op != "start":
+            continue
+        key = (command.job, command.index, command.attempt)
+        if direct:
+            machine.starts.record_direct_start(key, token, now)
+        else:
+            machine.starts.record_answered_start(key, machine.report_sequence)
+
+
+def _discard_settled(machine: Machine, allocated: set[TaskKey]) -> None:
+    """Forget stop requests and direct starts of tasks that are neither allocated nor reported any more.
+
+    A stop request stays for as long as the task is allocated: that it wasn't started may have been taken for proof of
+    its end already, and a start would run it beside the attempt that replaces it.
+    """
+    settled = [key for key in machine.stop_requests if key not in allocated and key not in machine.tasks]
+    for key in settled:
+        del machine.stop_requests[key]
+    machine.starts.retain_direct_starts(allocated, machine.tasks)
+
+
+def _commands_for_unallocated(machine: Machine, allocated: set[TaskKey], now: float) -> list[Command]:
+    """Return commands that stop and forget reported tasks without an allocation.
+
+    Either their end is recorded, or they never had an allocation: nobody needs them.
+    """
+    commands = []
+    deferred = False
+    for key, task in machine.tasks.items():
+        if key in allocated:
+            continue
+        if task.state != "ended":
+            commands.append(Command("stop", *key))
+        elif machine.can_forget(key):
+            commands.append(Command("forget", *key))
+            machine.starts.forget_answered_start(key)
+        else:
+            deferred = True
+    machine.forgetting_deferred_since = (machine.forgetting_deferred_since or now) if deferred else None
+    return commands
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -6,11 +6,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Any
 
-from tidebend.cluster_state.allocations import Allocation, pack_claims, unpack_claims
+from tidebend.cluster_state.allocations import Allocation, pack_allocations, shift_tasks, unpack_allocations
 from tidebend.cluster_state.task_bitmap import from_text, interval, to_text
 from tidebend.kvclient import LIVE
 
@@ -40,7 +39,7 @@
         if self.done:
             value["done"] = to_text(self.done >> first)
         if self.allocations:
-            value["claims"] = pack_claims(moved(self.allocations, -first))
+            value["claims"] = pack_allocations(shift_tasks(self.allocations, -first))
         if self.source:
             value["source"] = self.source
         return value
@@ -52,25 +51,11 @@
             value["started"],
             value["ended"],
             from_text(value.get("done", "")) << first,
-            tuple(moved(unpack_claims(value.get("claims", ())), first)),
+            tuple(shift_tasks(unpack_allocations(value.get("claims", ())), first)),
             value.get("source", 0),
         )
 
 
-def moved(allocations: Iterable[Allocation], by: int) -> Iterable[Allocation]:
-    for allocation in allocations:
-        tasks = allocation.tasks << by if by > 0 else allocation.tasks >> -by
-        yield Allocation(
-            allocation.machine, allocation.session, allocation.attempt, tasks, allocation.at, allocation.zone
-        )
-
-
-def clipped(allocations: Iterable[Allocation], mask: int) -> tuple[Allocation, ...]:
-    return tuple(
-        Allocation(c.machine, c.session, c.attempt, c.tasks & mask, c.at, c.zone) for c in allocations if c.tasks & mask
-    )
-
-
 @dataclass(frozen=True, slots=True)
 class ChunkIndex:
     """What the head says of its parts, and the records of those that are open."""
--- a/tidebend/cluster_state/task_bitmap.py
+++ b/tidebend/cluster_state/task_bitmap.py
@@ -6,46 +6,50 @@
 
 
 def interval(first: int, last: int) -> int:
+    """Return the bitmap of the numbers from `first` to `last`, both included."""
     return ((1 << (last - first + 1)) - 1) << first
 
 
 def to_text(mask: int) -> str:
-    chunks = []
+    """Return the form in records: ascending numbers and ranges, separated by commas; empty for no tasks."""
+    ranges = []
     base = 0
     while mask:
         skip = (mask & -mask).bit_length() - 1
         mask >>= skip
         base += skip
-        run = (~mask & (mask + 1)).bit_length() - 1
-        chunks.append(f"{base}-{base + run - 1}" if run > 1 else str(base))
-        mask >>= run
-        base += run
-    return ",".join(chunks)
+        length = (~mask & (mask + 1)).bit_length() - 1
+        ranges.append(f"{base}-{base + length - 1}" if length > 1 else str(base))
+        mask >>= length
+        base += length
+    return ",".join(ranges)
 
 
 def from_text(text: str) -> int:
+    """Read what `to_text` wrote; raises ValueError for anything but numbers and ranges."""
     mask = 0
-    for chunk in text.split(",") if text else ():
-        first, _, last = chunk.partition("-")
+    for part in text.split(",") if text else ():
+        first, _, last = part.partition("-")
         mask |= interval(int(first), int(last or first))
     return mask
 
 
 def members(mask: int) -> Iterator[int]:
+    """Yield the task numbers in ascending order."""
     while mask:
-        low = mask & -mask
-        yield low.bit_length() - 1
-        mask ^= low
+        lowest_bit = mask & -mask
+        yield lowest_bit.bit_length() - 1
+        mask ^= lowest_bit
 
 
 def lowest(mask: int, count: int) -> int:
-    """The `count` lowest members."""
+    """Return the bitmap of the `count` lowest members."""
     if mask.bit_count() <= count:
         return mask
-    low = 0
+    selected = 0
     for index in members(mask):
         if not count:
             break
-        low |= 1 << index
+        selected |= 1 << index
         count -= 1
-    return low
+    return selected
