--- /dev/null
+++ b/tidebend/cluster_state/job_state.py
@@ -0,0 +1,123 @@
+"""The state of a job, and the changes of its allocations."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from typing import Self
+
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.keys import AllocationKey
+from tidebend.cluster_state.record_chunks import ChunkIndex
+from tidebend.cluster_state.task_bitmap import interval
+from tidebend.protocol import JobSpec
+
+
+@dataclass(frozen=True, slots=True)
+class JobState:
+    """A job at one version of its record. Immutable: a change makes a new one, for a conditional write.
+
+    Times are times of day, in seconds. `blocked` is never recorded: it follows from the final records of the
+    dependencies.
+    """
+
+    id: str
+    version: int  # of the record from which it was read
+    spec: JobSpec
+    submitted: float
+    cancelled: bool = False
+    started: int = 0  # allocation events so far; numbers the attempts
+    ended: int = 0  # tasks of allocations that have ended; only grows
+    done: int = 0  # bitmap
+    allocations: tuple[Allocation, ...] = ()
+    dependencies: tuple[str, ...] = ()  # jobs that must be done first; empty once the first allocation is recorded
+    ready: float | None = None  # when the last of the dependencies was done
+    blocked: bool = False  # some dependency isn't known to be done
+    chunks: ChunkIndex | None = None  # for a job whose record is split
+
+    @property
+    def allocated(self) -> int:
+        """The bitmap of allocated tasks."""
+        mask = 0
+        for allocation in self.allocations:
+            mask |= allocation.tasks
+        return mask
+
+    @property
+    def all_tasks(self) -> int:
+        """The bitmap of all tasks."""
+        return interval(0, self.spec.tasks - 1)
+
+    @property
+    def pending(self) -> int:
+        """The bitmap of tasks that may be allocated now."""
+        return 0 if self.cancelled or self.blocked else self.all_tasks & ~self.done & ~self.allocated
+
+    @property
+    def startable_since(self) -> float:
+        """When its first task could have started: at its submission, or when its last dependency was done."""
+        return self.submitted if self.ready is None else self.ready
+
+    @property
+    def complete(self) -> bool:
+        """Whether all tasks are done."""
+        return self.done == self.all_tasks
+
+    @property
+    def running(self) -> int:
+        """The number of allocated tasks."""
+        return sum(allocation.tasks.bit_count() for allocation in self.allocations)
+
+    @property
+    def charged(self) -> int:
+        """The number of tasks that the team's record counts for this job: all that were ever allocated."""
+        return self.ended + self.running
+
+    def per_zone(self) -> dict[str, int]:
+        """Return the number of allocated tasks by zone."""
+        zones: dict[str, int] = {}
+        for allocation in self.allocations:
+            zones[allocation.zone] = zones.get(allocation.zone, 0) + allocation.tasks.bit_count()
+        return zones
+
+    def allocated_on(self, machines: Iterable[str]) -> dict[AllocationKey, int]:
+        """Return the bitmaps of the tasks allocated to some machines.
+
+        An allocation that spans several chunks is stored in each of them; its tasks are joined here.
+        """
+        found: dict[AllocationKey, int] = {}
+        for allocation in self.allocations:
+            if allocation.machine in machines:
+                key = (allocation.machine, allocation.session, allocation.attempt)
+                found[key] = found.get(key, 0) | allocation.tasks
+        return found
+
+    def with_allocations(self, added: Iterable[Allocation]) -> Self:
+        """Return the job after an allocation event; its dependencies are done by then, and dropped."""
+        return replace(self, allocations=self.allocations + tuple(added), started=self.started + 1, dependencies=())
+
+    def with_dependencies_done(self, at: float) -> Self:
+        """Return the job as it is once the last of its dependencies is done."""
+        return replace(self, blocked=False, ready=at)
+
+    def without_tasks(self, ended: Mapping[AllocationKey, int], done: int) -> Self:
+        """Return the job without the tasks of allocations that have ended, those in the bitmap `done` being done."""
+        left = []
+        for allocation in self.allocations:
+            removed = ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
+            if not allocation.tasks & removed:
+                left.append(allocation)
+            elif allocation.tasks & ~removed:
+                left.append(replace(allocation, tasks=allocation.tasks & ~removed))
+        new = replace(self, allocations=tuple(left), done=self.done | done)
+        return replace(new, ended=self.ended + self.running - new.running)
+
+    # FORMER NAMES BEGIN
+
+    claimed = allocated
+    since = startable_since
+    places = allocated_on
+    with_claims = with_allocations
+    without = without_tasks
+
+    # FORMER NAMES END
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -1,7 +1,7 @@
-"""Large jobs in parts: fixed ranges of tasks, each with a record of its own that a value can always hold.
+"""Chunks of large jobs: fixed ranges of tasks, each with a record that always fits into a value.
 
-The head of such a job says which parts have a record (opened) and which need none any more (closed), so that its
-version vouches for the set of parts; a part's record has the claims and done tasks of its range.
+The job's head says which chunks have a record (open) and which need none any more (closed), so that the version of the
+head determines the set of chunks. A chunk's record has the allocations and done tasks of its range.
 """
 
 from __future__ import annotations
@@ -13,28 +13,33 @@
 from tidebend.cluster_state.task_bitmap import from_text, interval, to_text
 from tidebend.kvclient import LIVE
 
+# key prefix of chunks
 CHUNK = LIVE + "part/"
-# bytes of a value for each task of a part: a claim of one task on a machine of its own takes about so many
-BYTES_A_TASK = 24
+# bytes of a value to allow for each task of a chunk: what the allocation of one task to a machine of its own takes
+BYTES_PER_TASK = 24
 
 
 def chunk_size(value_bytes: int) -> int:
-    """Tasks in a part: with each on a machine of its own, the claims made at one event fit."""
-    return max(1, value_bytes // BYTES_A_TASK)
+    """Return the number of tasks in a chunk, for values of at most so many bytes.
+
+    The allocations made at one event fit even if each task goes to a machine of its own.
+    """
+    return max(1, value_bytes // BYTES_PER_TASK)
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A part's record; task numbers count from 0 in the whole job here, and from the part's first in the record."""
+    """A chunk; tasks are numbered within the job here, and from the first of the chunk in the record."""
 
-    version: int = 0
+    version: int = 0  # of its record; 0 if there is none yet
     started: int = 0  # the highest attempt so far
-    ended: int = 0  # claimed tasks whose claims have ended
-    done: int = 0
+    ended: int = 0  # tasks of allocations that have ended
+    done: int = 0  # bitmap
     allocations: tuple[Allocation, ...] = ()
-    source: int = 0  # the version of the record that it was split from, until it has been changed
+    source: int = 0  # the version of the job's record from which it was split, 0 once it has been changed
 
     def pack(self, first: int) -> dict[str, Any]:
+        """Return the record; `first` is the number of the chunk's first task."""
         value: dict[str, Any] = {"started": self.started, "ended": self.ended}
         if self.done:
             value["done"] = to_text(self.done >> first)
@@ -46,32 +51,34 @@
 
     @staticmethod
     def unpack(value: dict[str, Any], version: int, first: int) -> Chunk:
+        """Read a record of this version; `first` is the number of the chunk's first task."""
         return Chunk(
-            version,
-            value["started"],
-            value["ended"],
-            from_text(value.get("done", "")) << first,
-            tuple(shift_tasks(unpack_allocations(value.get("claims", ())), first)),
-            value.get("source", 0),
+            version=version,
+            started=value["started"],
+            ended=value["ended"],
+            done=from_text(value.get("done", "")) << first,
+            allocations=tuple(shift_tasks(unpack_allocations(value.get("claims", ())), first)),
+            source=value.get("source", 0),
         )
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkIndex:
-    """What the head says of its parts, and the records of those that are open."""
+    """What a job's head says of its chunks, and the records of the open ones that are known."""
 
-    size: int
-    opened: int = 0  # bitmap of parts that have a record
-    closed: int = 0  # bitmap of parts whose record is no longer needed
-    ended: int = 0  # claimed tasks of closed parts, all of whose claims have ended
-    started: int = 0  # the highest attempt in parts that have no record
-    rows: tuple[tuple[int, Chunk], ...] = ()
+    size: int  # tasks in a chunk
+    opened: int = 0  # bitmap of the chunks that have a record
+    closed: int = 0  # bitmap of the chunks that need no record any more
+    ended: int = 0  # tasks of allocations in closed chunks, all of which have ended
+    started: int = 0  # the highest attempt in chunks without a record
+    rows: tuple[tuple[int, Chunk], ...] = ()  # number and chunk, in ascending order
 
     def mask(self, number: int) -> int:
+        """Return the bitmap of a chunk's tasks; of the last chunk it may go beyond the job's last task."""
         return interval(number * self.size, (number + 1) * self.size - 1)
 
     def numbers(self, tasks: int) -> list[int]:
-        """The parts in which some of these tasks lie."""
+        """Return the numbers of the chunks that some of these tasks lie in."""
         found = []
         while tasks:
             number = ((tasks & -tasks).bit_length() - 1) // self.size
@@ -80,13 +87,22 @@
         return found
 
     def pack(self) -> list[Any]:
+        """Return the form in the head's record: size, open and closed chunks in hexadecimal, ended, started."""
         return [self.size, f"{self.opened:x}", f"{self.closed:x}", self.ended, self.started]
 
     @staticmethod
     def unpack(row: list[Any]) -> ChunkIndex:
-        return ChunkIndex(row[0], int(row[1], 16), int(row[2], 16), *row[3:])
+        """Read what `pack` wrote; the records of chunks are added by `ChunkedJob.with_chunk_records`."""
+        size, opened, closed, *counts = row
+        return ChunkIndex(size, int(opened, 16), int(closed, 16), *counts)
 
     @property
-    def unknown(self) -> int:
-        """Open parts whose records we haven't got."""
+    def missing_records(self) -> int:
+        """The bitmap of open chunks whose records aren't known."""
         return self.opened & ~sum(1 << number for number, _ in self.rows)
+
+    # FORMER NAMES BEGIN
+
+    unknown = missing_records
+
+    # FORMER NAMES END
