--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -133,10 +133,7 @@
         assert polls.count(200) > 0.97 * len(polls)
         assert changes < 4.5 and failed < 0.3, (changes, failed)
         for controller in world.controllers.values():
-            assert (
-                len(controller.job_cache.jobs) < 3
-                and not controller.job_cache._by_machine.keys() - world.workers.keys()
-            )
+            assert len(controller.job_cache.jobs) < 3 and not controller.job_cache.machines() - world.workers.keys()
             # no request is under way between steps, so that nothing but the newest read's deletions is kept
             assert len(controller.cache._tombstones) <= 20, len(controller.cache._tombstones)
             assert (
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -17,9 +17,9 @@
 
     looked_at = 0
 
-    def _index(self, job, sign):
-        self.looked_at += sign > 0
-        super()._index(job, sign)
+    def _add_to_indexes(self, job):
+        self.looked_at += 1
+        super()._add_to_indexes(job)
 
 
 def book_of(graph):
--- /dev/null
+++ b/tidebend/cluster_state/allocation_index.py
@@ -0,0 +1,38 @@
+"""Allocations by machine."""
+
+from __future__ import annotations
+
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.job_records import Job
+
+
+class AllocationIndex:
+    """The allocations of the live jobs, by machine and job. Changed and read under the lock of its owner."""
+
+    def __init__(self) -> None:
+        """Begin without allocations."""
+        self._by_machine: dict[str, dict[str, list[tuple[Job, Allocation]]]] = {}
+
+    def add(self, job: Job) -> None:
+        """Add the allocations of a job that isn't there."""
+        for allocation in job.allocations:
+            jobs = self._by_machine.setdefault(allocation.machine, {})
+            jobs.setdefault(job.id, []).append((job, allocation))
+
+    def remove(self, job: Job) -> None:
+        """Remove the allocations of a job that was added."""
+        for allocation in job.allocations:
+            jobs = self._by_machine.get(allocation.machine)
+            if jobs is None:
+                continue  # an earlier allocation of the job to this machine has removed them all
+            jobs.pop(job.id, None)
+            if not jobs:
+                del self._by_machine[allocation.machine]
+
+    def on_machine(self, machine: str) -> list[tuple[Job, Allocation]]:
+        """Return the allocations on a machine, each with its job."""
+        return [pair for pairs in self._by_machine.get(machine, {}).values() for pair in pairs]
+
+    def machines(self) -> set[str]:
+        """Return the names of the machines with allocations."""
+        return set(self._by_machine)
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -1,234 +1,252 @@
-"""The cache of live jobs, with the indexes over their claims and over who waits for whom."""
+"""The cache of live jobs, of teams' usage and of final states, kept up to date from the state service's records."""
 
 from __future__ import annotations
 
 import threading
-from collections import OrderedDict
-from collections.abc import Iterable
+from collections.abc import Container
 from dataclasses import dataclass, replace
 from typing import Any
 
+from tidebend.cluster_state.allocation_index import AllocationIndex
 from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.dependency_graph import DependencyGraph
+from tidebend.cluster_state.final_states import CANCELLED, UNKNOWN_TIME, FinalState, unpack_final
+from tidebend.cluster_state.final_states import pack_final as pack_final  # former name
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.cluster_state.record_chunks import CHUNK, Chunk
 from tidebend.kvclient import FINAL
-from tidebend.quota import Amounts, TeamUsage, UsageIndex
-
-CANCELLED = "cancelled"
-Final = tuple[str, float]  # `done` or `cancelled`, and the time of day, 0 in records of the version before pipelines
-
-
-def unpack_final(value: Any) -> Final:
-    return (value, 0.0) if isinstance(value, str) else (value["state"], value["at"])
-
-
-def pack_final(state: str, at: float, plain: bool) -> Any:
-    """`plain`: as the version before pipelines writes it."""
-    return state if plain else {"state": state, "at": round(at, 3)}
+from tidebend.quota import QuotaAmount, TeamUsage, UsageIndex
 
 
 @dataclass(slots=True)
-class _PartRecord:
-    """Unpacked once, when a head says what it means: a job changes with each of its parts."""
+class _ChunkRecord:
+    """A chunk's record, unpacked once: its job is derived anew whenever another of its chunks changes."""
 
     value: Any
     version: int
-    first: int = -1
-    unpacked: Chunk | None = None
+    _first: int | None = None  # the number of the first task that it was unpacked with
+    _chunk: Chunk | None = None
 
     def chunk(self, first: int) -> Chunk:
-        if self.unpacked is None or self.first != first:
-            self.first, self.unpacked = first, Chunk.unpack(self.value, self.version, first)
-        return self.unpacked
+        """Unpack the record of a chunk whose first task has this number, as the job's head tells."""
+        if self._chunk is None or self._first != first:
+            self._first, self._chunk = first, Chunk.unpack(self.value, self.version, first)
+        return self._chunk
 
 
 class JobCache:
-    """Live jobs, teams' usage and recent finals; changed only by what the mirror passes on, under its lock.
+    """Live jobs, teams' usage and final states; changed only by the watch cache, under its lock.
 
-    What jobs wait for is derived from final records, which never change: so it only ever grows, and is the same on
-    every controller.
+    Whether a job is blocked or cancelled by its dependencies is derived from their final records. These never change,
+    so that a conclusion from them stays true, and is the same on every controller.
     """
 
     def __init__(self, lock: threading.RLock, keep_finals: int) -> None:
+        """`lock`: the watch cache's; `keep_finals`: how many final states to keep at the least."""
         self.lock = lock
         self.jobs: dict[str, Job] = {}
-        self._heads: dict[str, Job] = {}  # as recorded, before anything is derived
-        self._parts: dict[str, dict[int, _PartRecord]] = {}
-        self._accounts = UsageIndex()
-        self._finals: OrderedDict[str, Final] = OrderedDict()
-        self._keep_finals = keep_finals
-        self._by_machine: dict[str, dict[str, list[tuple[Job, Allocation]]]] = {}
-        self._waiters: dict[str, set[str]] = {}  # job -> live jobs that name it
-        self._needed: dict[str, Final] = {}  # finals of jobs that live ones name: kept however old
+        self._heads: dict[str, Job] = {}  # as recorded: without chunks, and without what follows from dependencies
+        self._chunks: dict[str, dict[int, _ChunkRecord]] = {}
+        self._usage = UsageIndex()
+        self._allocations = AllocationIndex()
+        self._dependencies = DependencyGraph(keep_finals)
 
     def on_change(self, key: str, value: Any, version: int) -> None:
-        if key.startswith(JOB) or key.startswith(HEAD):
-            name = key[len(JOB) :] if key.startswith(JOB) else key[len(HEAD) :]
-            self._head_changed(name, key, value, version)
+        """Apply a record of the state service, or its removal if `value` is None; other keys are ignored."""
+        if key.startswith(JOB):
+            self._change_head(key[len(JOB) :], key, value, version)
+        elif key.startswith(HEAD):
+            self._change_head(key[len(HEAD) :], key, value, version)
         elif key.startswith(CHUNK):
             name, _, number = key[len(CHUNK) :].rpartition("/")
-            chunks = self._parts.setdefault(name, {})
-            if value is None:
-                chunks.pop(int(number), None)
-                if not chunks:
-                    del self._parts[name]
-            else:
-                chunks[int(number)] = _PartRecord(value, version)
-            if name in self._heads:
-                self._derive(name)
+            self._change_chunk(name, int(number), value, version)
         elif key.startswith(FINAL):
             if value is not None:
                 self.remember_final(key[len(FINAL) :], value)
         else:
-            self._accounts.on_change(key, value, version)
+            self._usage.on_change(key, value, version)
 
-    def _head_changed(self, name: str, key: str, value: Any, version: int) -> None:
+    def _change_head(self, name: str, key: str, value: Any, version: int) -> None:
         old = self._heads.get(name)
         if value is None:
             if old is None or old.key != key:
-                return  # it has moved to a record of the other kind
+                return  # the job has moved to the other key
             del self._heads[name]
         else:
             self._heads[name] = Job.unpack(name, value, version)
         new = self._heads.get(name)
-        if (old.dependencies if old else ()) != (new.dependencies if new else ()):
-            for other in old.dependencies if old else ():
-                waiters = self._waiters[other]
-                waiters.discard(name)
-                if not waiters:
-                    del self._waiters[other]
-                    self._needed.pop(other, None)
-            for other in new.dependencies if new else ():
-                self._waiters.setdefault(other, set()).add(name)
-                if other in self._finals:
-                    self._needed[other] = self._finals[other]
+        old_dependencies = old.dependencies if old else ()
+        new_dependencies = new.dependencies if new else ()
+        if old_dependencies != new_dependencies:
+            self._dependencies.replace_dependencies(name, old_dependencies, new_dependencies)
         self._derive(name)
 
-    def _outcome(self, name: str) -> Final | None:
-        """What has become of a job for good."""
-        final = self._needed.get(name) or self._finals.get(name)
+    def _change_chunk(self, name: str, number: int, value: Any, version: int) -> None:
+        records = self._chunks.setdefault(name, {})
+        if value is None:
+            records.pop(number, None)
+            if not records:
+                del self._chunks[name]
+        else:
+            records[number] = _ChunkRecord(value, version)
+        if name in self._heads:
+            self._derive(name)
+
+    def remember_final(self, name: str, value: Any) -> None:
+        """Apply the final record of a job, from the watch cache or from a look-up by itself."""
+        final = unpack_final(value)
+        with self.lock:
+            for dependent in self._dependencies.remember_final(name, final):
+                self._derive(dependent)
+
+    # How jobs follow from records
+
+    def _outcome(self, name: str) -> FinalState | None:
+        """Return how a job has ended or, by a cancellation, is bound to end; None if that is open or unknown."""
+        final = self._dependencies.final(name)
         if final is None:
             job = self.jobs.get(name)
             if job is not None and job.cancelled:
-                return CANCELLED, 0.0
+                return FinalState(CANCELLED, UNKNOWN_TIME)
         return final
 
     def _derive(self, name: str) -> None:
-        """Bring a job up to its records and those of what it waits for, then what waits for it, and so on."""
+        """Derive a job from its records and its dependencies, then the jobs that depend on it, and so on."""
         left = [name]
         while left:
             name = left.pop()
-            before = self._outcome(name)
-            self._index(self.jobs.pop(name, None), -1)
+            outcome_before = self._outcome(name)
+            old = self.jobs.pop(name, None)
+            if old is not None:
+                self._remove_from_indexes(old)
             head = self._heads.get(name)
             if head is not None:
-                if head.chunks:
-                    size = head.chunks.size
-                    head = head.assembled(
-                        {number: record.chunk(number * size) for number, record in self._parts.get(name, {}).items()}
-                    )
-                if head.dependencies:
-                    outcomes = [self._outcome(other) for other in head.dependencies]
-                    if any(outcome is not None and outcome[0] == CANCELLED for outcome in outcomes):
-                        head = replace(head, cancelled=True)
-                    elif None not in outcomes:
-                        head = replace(head, blocked=False, ready=max(head.submitted, *(at for _, at in outcomes)))
-                self.jobs[name] = head
-                self._index(head, 1)
-            if self._outcome(name) != before:
-                left += self._waiters.get(name, ())
-
-    def _index(self, job: Job | None, sign: int) -> None:
-        if job is None:
-            return
-        self._accounts.count_ended(job.spec, sign * job.ended)
+                new = self._with_dependencies_applied(self._with_chunks(head))
+                self.jobs[name] = new
+                self._add_to_indexes(new)
+            if self._outcome(name) != outcome_before:
+                left += self._dependencies.dependents(name)
+
+    def _with_chunks(self, head: Job) -> Job:
+        if head.chunks is None:
+            return head
+        size = head.chunks.size
+        records = self._chunks.get(head.id, {})
+        return head.with_chunk_records({number: record.chunk(number * size) for number, record in records.items()})
+
+    def _with_dependencies_applied(self, job: Job) -> Job:
+        """Return the job cancelled if a dependency is, or no longer blocked if all are done."""
+        if not job.dependencies:
+            return job
+        outcomes = [self._outcome(dependency) for dependency in job.dependencies]
+        known = [outcome for outcome in outcomes if outcome is not None]
+        if any(outcome.state == CANCELLED for outcome in known):
+            return replace(job, cancelled=True)
+        if len(known) < len(outcomes):
+            return job
+        return job.with_dependencies_done(max(job.submitted, *(outcome.at for outcome in known)))
+
+    def _add_to_indexes(self, job: Job) -> None:
+        self._allocations.add(job)
+        self._usage.count_ended(job.spec, job.ended)
         for allocation in job.allocations:
-            self._accounts.count_claim(job.spec, allocation.zone, sign * allocation.tasks.bit_count())
-            if sign > 0:
-                self._by_machine.setdefault(allocation.machine, {}).setdefault(job.id, []).append((job, allocation))
-                continue
-            held = self._by_machine.get(allocation.machine)
-            if held is not None:
-                held.pop(job.id, None)
-                if not held:
-                    del self._by_machine[allocation.machine]
+            self._usage.count_allocated(job.spec, allocation.zone, allocation.tasks.bit_count())
 
-    def remember_final(self, name: str, value: Any) -> None:
-        final = unpack_final(value)
-        with self.lock:
-            self._finals[name] = final
-            self._finals.move_to_end(name)
-            while len(self._finals) > self._keep_finals:
-                self._finals.popitem(last=False)
-            if name in self._waiters and name not in self._needed:
-                self._needed[name] = final
-                for waiter in list(self._waiters[name]):
-                    self._derive(waiter)
+    def _remove_from_indexes(self, job: Job) -> None:
+        self._allocations.remove(job)
+        self._usage.count_ended(job.spec, -job.ended)
+        for allocation in job.allocations:
+            self._usage.count_allocated(job.spec, allocation.zone, -allocation.tasks.bit_count())
 
-    def final(self, name: str) -> str | None:
-        """`done` or `cancelled` if that is known to be the job's last state."""
-        with self.lock:
-            outcome = self._outcome(name)
-            return outcome[0] if outcome else None
+    # Jobs
 
     def get(self, name: str) -> Job | None:
+        """Return a live job."""
         with self.lock:
             return self.jobs.get(name)
 
     def live(self) -> list[Job]:
+        """Return all live jobs."""
         with self.lock:
             return list(self.jobs.values())
 
+    def final(self, name: str) -> str | None:
+        """Return `done` or `cancelled` if that is known to be the job's final state, also while it still lives."""
+        with self.lock:
+            outcome = self._outcome(name)
+            return outcome.state if outcome else None
+
     def chunk_versions(self, name: str) -> dict[int, int]:
-        """The records of a job's parts, those included that its head doesn't speak of yet."""
+        """Return the versions of the records of a job's chunks, also of those that its head doesn't name."""
         with self.lock:
-            return {number: record.version for number, record in self._parts.get(name, {}).items()}
+            return {number: record.version for number, record in self._chunks.get(name, {}).items()}
 
     def chunk_sources(self, name: str) -> dict[int, int]:
-        """The versions of the record from which a job's parts were split."""
+        """Return the versions of the job's record from which its chunks were split, by number; 0 for changed ones."""
         with self.lock:
-            return {number: record.value.get("source", 0) for number, record in self._parts.get(name, {}).items()}
+            return {number: record.value.get("source", 0) for number, record in self._chunks.get(name, {}).items()}
 
-    # Who waits for whom
+    # Dependencies
 
-    def waiters(self) -> dict[str, list[str]]:
-        """For each job that is named by others that wait: those."""
+    def dependents(self) -> dict[str, list[str]]:
+        """Return for each job that live ones depend on: those."""
         with self.lock:
-            return {name: list(waiters) for name, waiters in self._waiters.items()}
+            return self._dependencies.dependents_by_job()
 
     def unresolved(self, name: str | None = None) -> list[str]:
-        """Jobs that others wait for, and that are over without our knowing how; of one job, or of all."""
+        """Return jobs that others depend on and that have ended, but of which it isn't known how.
+
+        With a name only those that this job depends on, directly or through others.
+        """
         with self.lock:
             if name is None:
-                return [other for other in self._waiters if other not in self._needed and other not in self._heads]
-            found, seen, left = [], {name}, [name]
-            while left:
-                head = self._heads.get(left.pop())
-                for other in head.dependencies if head else ():
-                    if other in seen or other in self._needed:
-                        continue
-                    seen.add(other)
-                    (left if other in self._heads else found).append(other)
-            return found
-
-    def used(self, team: str, zones: Iterable[str] | None = None) -> Amounts:
-        """What a team's claims take, everywhere or in some zones."""
+                return [other for other in self._dependencies.dependencies_without_final() if other not in self._heads]
+            return self._unresolved_of(name)
+
+    def _unresolved_of(self, name: str) -> list[str]:
+        found: list[str] = []
+        seen = {name}
+        left = [name]
+        while left:
+            head = self._heads.get(left.pop())
+            for other in head.dependencies if head else ():
+                if other in seen or self._dependencies.has_needed_final(other):
+                    continue
+                seen.add(other)
+                (left if other in self._heads else found).append(other)
+        return found
+
+    # Teams
+
+    def used(self, team: str, zones: Container[str] | None = None) -> QuotaAmount:
+        """Return what a team's allocated tasks use, everywhere or in some zones."""
         with self.lock:
-            return self._accounts.used(team, zones)
+            return self._usage.used(team, zones)
 
     def has_zone_quotas(self, team: str) -> bool:
+        """Whether a team's limit is divided into quota shares of zones."""
         with self.lock:
-            return self._accounts.has_zone_quotas(team)
+            return self._usage.has_zone_quotas(team)
 
-    def team(self, name: str, zones: Iterable[str] = ()) -> TeamUsage:
-        """A team's usage as who holds these zones may act on it."""
+    def team(self, name: str, zones: Container[str] = ()) -> TeamUsage:
+        """Return a team's usage as the holder of these zones may act on it."""
         with self.lock:
-            return self._accounts.team(name, zones)
+            return self._usage.team(name, zones)
+
+    # Machines
 
     def on_machine(self, machine: str) -> list[tuple[Job, Allocation]]:
+        """Return the allocations on a machine, each with its job."""
         with self.lock:
-            return [pair for pairs in self._by_machine.get(machine, {}).values() for pair in pairs]
+            return self._allocations.on_machine(machine)
 
     def machines(self) -> set[str]:
+        """Return the names of the machines with allocations."""
         with self.lock:
-            return set(self._by_machine)
+            return self._allocations.machines()
+
+    # FORMER NAMES BEGIN
+
+    waiters = dependents
+
+    # FORMER NAMES END
--- a/tidebend/quota/team_usage.py
+++ b/tidebend/quota/team_usage.py
@@ -1,52 +1,64 @@
-"""What a team uses, as its records say."""
+"""What a team uses of its limit, and its record."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
 from tidebend.protocol import JobSpec
-from tidebend.quota.records import Amounts, amount
+from tidebend.quota.records import NOTHING, QuotaAmount, QuotaAmountLike, amount
 from tidebend.quota.zone_quotas import ZoneQuotas
 
 
 @dataclass(frozen=True, slots=True)
 class TeamUsage:
-    """What a team's claims take, and the team's record that says so.
+    """What a team's allocated tasks use, and the version of the team's record that this was compared with.
 
-    Without shares the record counts all that the team's live jobs have ever claimed, and is written when they claim
-    more and when a job is over. Ends are counted in the jobs' own records: they are most of the writes, and so they
-    neither cost a second one nor collide with other jobs of the team. What a cache knows of ends is at most what has
-    ended, so a cache that is behind overestimates the usage; what it knows of the record is compared by the claim.
+    Without quota shares the record counts all that the team's live jobs were ever allocated. It is written when they
+    are allocated more, and when a job is over. Ended tasks are counted in the jobs' own records: they are most of the
+    writes, and so they neither need a second one nor conflict with other jobs of the team. A cache that is behind
+    knows of too few ended tasks and so overestimates the usage; the record itself is compared by each transaction that
+    allocates.
+
+    With quota shares the shares of other zones count as used, and the record under `TEAM` isn't written.
     """
 
     cpus: float = 0.0
     gpus: float = 0.0
-    version: int = 0
-    charged: Amounts = (0.0, 0.0)  # CPUs and GPUs in the record
-    shares: ZoneQuotas | None = None  # if there are, other zones' shares count as used, and nothing is charged
+    version: int = 0  # of the record under `TEAM`, or of that under `QUOTA` if there are shares
+    charged: QuotaAmount = NOTHING  # the amount in the record under `TEAM`
+    shares: ZoneQuotas | None = None
 
     def plus(self, spec: JobSpec, tasks: int) -> TeamUsage:
+        """Return the usage with more tasks allocated, which are charged to the record."""
         cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
         return replace(
             self,
             cpus=amount(self.cpus + cpus),
             gpus=amount(self.gpus + gpus),
-            charged=(amount(self.charged[0] + cpus), amount(self.charged[1] + gpus)),
+            charged=QuotaAmount(amount(self.charged[0] + cpus), amount(self.charged[1] + gpus)),
         )
 
-    def less(self, amounts: Amounts) -> TeamUsage:
-        """Without these amounts, which are to be given back in the same transaction, or soon."""
+    def minus(self, amounts: QuotaAmountLike) -> TeamUsage:
+        """Return the usage without an amount that is given back in the same transaction, or soon."""
         return replace(self, cpus=amount(self.cpus - amounts[0]), gpus=amount(self.gpus - amounts[1]))
 
-    def freed(self, spec: JobSpec, tasks: int) -> TeamUsage:
-        """Ends that go into the same transaction, or will soon."""
-        return self.less((spec.cpus * tasks, spec.gpus * tasks))
+    def with_tasks_ended(self, spec: JobSpec, tasks: int) -> TeamUsage:
+        """Return the usage without tasks whose end is recorded in the same transaction, or soon."""
+        return self.minus((spec.cpus * tasks, spec.gpus * tasks))
 
-    def without(self, spec: JobSpec, tasks: int) -> TeamUsage:
-        """A job is over: the record no longer counts what it claimed, all of which had ended."""
-        return replace(
-            self, charged=(amount(self.charged[0] - spec.cpus * tasks), amount(self.charged[1] - spec.gpus * tasks))
-        )
+    def without_charge(self, spec: JobSpec, tasks: int) -> TeamUsage:
+        """Return the usage once a job is over, with the record no longer charged for its tasks; all had ended."""
+        cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
+        return replace(self, charged=QuotaAmount(amount(self.charged[0] - cpus), amount(self.charged[1] - gpus)))
 
     def pack(self) -> list[float]:
+        """Return the record under `TEAM`."""
         return list(self.charged)
+
+    # FORMER NAMES BEGIN
+
+    less = minus
+    freed = with_tasks_ended
+    without = without_charge
+
+    # FORMER NAMES END
--- a/tidebend/quota/zone_quotas.py
+++ b/tidebend/quota/zone_quotas.py
@@ -1,73 +1,87 @@
-"""A team's limit shared out among zones: the record, and the ways in which it may be changed."""
+"""A team's limit divided into quota shares of zones: the record, and how it may be changed."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Container, Mapping
 from dataclasses import dataclass
+from typing import Any
 
-from tidebend.quota.records import Amounts, amount
+from tidebend.quota.records import NOTHING, QuotaAmount, QuotaAmountLike, amount, total_of
 from tidebend.settings import Team
 
-# of what is free of a team's limit, the zones together take this share ahead of need
+# the part of what is free of a team's limit that all zones together may take ahead of need
 AHEAD = 0.5
+# sums of amounts are compared with this tolerance for rounding errors
+TOLERANCE = 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneQuotas:
     """How much of its limit a team may use in each zone.
 
-    Only a zone's holder adds claims there, and it knows all that there are: so it compares this record and need not
-    write it, and claims in one zone don't collide with those in another. The shares never exceed the limit together.
-    A share is raised from what is free, in the transaction that needs it, and lowered by the zone's holder alone.
+    Only the holder of a zone allocates there, and it knows all allocations in it. So it compares this record without
+    writing it, and allocations in one zone don't conflict with those in another. The shares together never exceed the
+    limit. A share is raised from what is free, in the transaction that needs it, and lowered only by the zone's holder.
     """
 
-    version: int
-    zones: dict[str, Amounts]
+    version: int  # 0 for shares that aren't recorded yet
+    zones: Mapping[str, QuotaAmountLike]
 
-    def total(self, but: Iterable[str] = ()) -> Amounts:
-        rows = [row for zone, row in self.zones.items() if zone not in but]
-        return sum(row[0] for row in rows), sum(row[1] for row in rows)
+    def total(self, but: Container[str] = ()) -> QuotaAmount:
+        """Return the sum of the shares, without those of some zones."""
+        return total_of(row for zone, row in self.zones.items() if zone not in but)
 
     def pack(self) -> dict[str, list[float]]:
+        """Return the record under `QUOTA`."""
         return {zone: [amount(row[0]), amount(row[1])] for zone, row in self.zones.items()}
 
+    @staticmethod
+    def unpack(value: Mapping[str, Any], version: int) -> ZoneQuotas:
+        """Read what `pack` wrote."""
+        return ZoneQuotas(version, {zone: QuotaAmount(*row) for zone, row in value.items()})
 
-def within(need: Amounts, share: Amounts, limit: Team) -> bool:
-    """Whether a need keeps to a share, in what is limited at all."""
-    return (limit.cpus_max is None or need[0] <= share[0] + 1e-6) and (
-        limit.gpus_max is None or need[1] <= share[1] + 1e-6
-    )
+
+def fits_within(need: QuotaAmountLike, share: QuotaAmountLike, limit: Team) -> bool:
+    """Whether a need doesn't exceed a share, in those resources that the team's limit bounds."""
+    cpus_fit = limit.cpus_max is None or need[0] <= share[0] + TOLERANCE
+    gpus_fit = limit.gpus_max is None or need[1] <= share[1] + TOLERANCE
+    return cpus_fit and gpus_fit
 
 
-def raised(
-    zones: dict[str, Amounts], needs: dict[str, Amounts], grown: list[str], limit: Team, every: int
-) -> dict[str, Amounts] | None:
-    """The shares with which claims in the zones `grown` keep the limit; None if they can't.
+def raise_shares(
+    zones: dict[str, QuotaAmountLike],
+    needs: Mapping[str, QuotaAmountLike],
+    grown: list[str],
+    limit: Team,
+    every: int,
+) -> dict[str, QuotaAmountLike] | None:
+    """Return the shares under which allocations in the zones `grown` keep the limit; None if there are none.
 
-    `zones`: the shares now, returned as they are if they suffice; `needs`: what is used in the zones that are the
-    claiming holder's own, the claims included; `every`: how many zones there are.
+    `zones` are the present shares, which are returned themselves if they suffice. `needs` is what is used in the zones
+    of the allocating holder, these allocations included. `every` is the number of all zones.
     """
-    have = (0.0, 0.0)
-    if all(within(needs[zone], zones.get(zone, have), limit) for zone in grown):
+    if all(fits_within(needs[zone], zones.get(zone, NOTHING), limit) for zone in grown):
         return zones
-    # what lies unused in our own zones serves first, then what is free; a part of that is taken ahead
-    zones = {**zones, **needs}
-    total = ZoneQuotas(0, zones).total()
+    # What isn't used in the holder's own zones serves first, then what is free; some of that is taken ahead of need.
+    raised = {**zones, **needs}
+    total = total_of(raised.values())
     if not limit.allows(*total):
         return None
     ahead = AHEAD / max(1, every * len(grown))
+    free = QuotaAmount(
+        max(0.0, (limit.cpus_max or 0.0) - total.cpus),
+        max(0.0, (limit.gpus_max or 0.0) - total.gpus),
+    )
     for zone in grown:
-        zones[zone] = tuple(
-            need + ahead * max(0.0, (most or 0.0) - taken)
-            for need, most, taken in zip(needs[zone], (limit.cpus_max, limit.gpus_max), total, strict=True)
-        )
-    return zones
+        cpus, gpus = needs[zone]
+        raised[zone] = QuotaAmount(cpus + ahead * free.cpus, gpus + ahead * free.gpus)
+    return raised
 
 
-def lowered(shares: ZoneQuotas, used: dict[str, Amounts]) -> ZoneQuotas | None:
-    """The shares with those of some zones at what is used there; None if that gives nobody more room.
+def lower_shares(shares: ZoneQuotas, used: Mapping[str, QuotaAmountLike]) -> ZoneQuotas | None:
+    """Return the shares with those of some zones lowered to what is used there; None if that frees nothing.
 
-    Only those zones' holder may write it, in a transaction that compares that it still is.
+    Only the holder of those zones may write them, in a transaction that compares that it still is.
     """
     lower = ZoneQuotas(0, {zone: used.get(zone, row) for zone, row in shares.zones.items()})
     return None if lower.total() >= shares.total() else lower
