--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,13 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.coordination.coordinator import ZONE
-from tidebend.zone_failover import IsolationWindow, MachineContents, leave, share_of_tasks, without
+from tidebend.zone_failover import (
+    IsolationWindow,
+    MachineContents,
+    machines_to_evacuate,
+    share_of_tasks,
+    without_lost_zones,
+)
 
 HOLD = IsolationWindow(begin=90.0, until=100.0, end=115.0)
 
@@ -24,7 +30,7 @@
     gone, now = {}, 80.0
     while now < until:
         left = [row for row in standings if row.machine not in gone]
-        gone.update(dict.fromkeys(leave(left, HOLD, now, turn_s), now))
+        gone.update(dict.fromkeys(machines_to_evacuate(left, HOLD, now, turn_s), now))
         now += turn_s
     return gone
 
@@ -44,20 +50,20 @@
 def test_batch_work_that_ends_inside_is_waited_for_and_the_rest_begins_anew_elsewhere():
     gone = given_up(
         [
-            MachineContents("ends", ends=(105.0,)),
-            MachineContents("two", ends=(103.0, 200.0)),
+            MachineContents("ends", batch_ends=(105.0,)),
+            MachineContents("two", batch_ends=(103.0, 200.0)),
             MachineContents("idle"),
-            MachineContents("long", ends=(130.0,)),
-            MachineContents("over", ends=(85.0,)),
-            MachineContents("gang", ends=(200.0,), worth_s=20.0),
+            MachineContents("long", batch_ends=(130.0,)),
+            MachineContents("over", batch_ends=(85.0,)),
+            MachineContents("gang", batch_ends=(200.0,), extra_wait_s=20.0),
         ]
     )
     assert gone == {"long": 101.0, "over": 101.0, "idle": 101.0, "two": 103.0, "ends": 105.0, "gang": 121.0}
 
 
 def test_nothing_leaves_a_zone_that_comes_back_before_its_replicas_had_to():
-    rows = [MachineContents("a", replicas=2), MachineContents("b", ends=(300.0,))]
-    assert not [name for now in range(80, 90) for name in leave(rows, HOLD, float(now), 1.0)]
+    rows = [MachineContents("a", replicas=2), MachineContents("b", batch_ends=(300.0,))]
+    assert not [name for now in range(80, 90) for name in machines_to_evacuate(rows, HOLD, float(now), 1.0)]
 
 
 @given(st.integers(0, 100), st.integers(1, 9))
@@ -73,9 +79,9 @@
         Allocation(f"m{n}", 1, 1, 1 << n, 0.0, zone) for n, zone in enumerate(["north", "south", "north"])
     )
     for job in (Job("s", 0, made, 0.0), in_parts(made, "s")):
-        left = without(job.with_claims(allocations), {"north"})
+        left = without_lost_zones(job.with_claims(allocations), {"north"})
         assert left.pending == 0b1101 and left.per_zone() == {"south": 1}
-        assert without(job.with_claims(allocations), {"west"}) is None
+        assert without_lost_zones(job.with_claims(allocations), {"west"}) is None
 
 
 def cut_off(world, node, zone, for_s):
--- a/tidebend/quota/records.py
+++ b/tidebend/quota/records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Collection
 from typing import NamedTuple
 
 from tidebend.kvclient import LIVE
@@ -33,7 +33,6 @@
     return max(0.0, round(value, 6))
 
 
-def total_of(amounts: Iterable[QuotaAmountLike]) -> QuotaAmount:
+def total_of(amounts: Collection[QuotaAmountLike]) -> QuotaAmount:
     """Return the sum of some amounts."""
-    rows = list(amounts)
-    return QuotaAmount(sum(row[0] for row in rows), sum(row[1] for row in rows))
+    return QuotaAmount(sum([row[0] for row in amounts]), sum([row[1] for row in amounts]))
--- a/tidebend/quota/zone_quotas.py
+++ b/tidebend/quota/zone_quotas.py
@@ -29,7 +29,7 @@
 
     def total(self, but: Container[str] = ()) -> QuotaAmount:
         """Return the sum of the shares, without those of some zones."""
-        return total_of(row for zone, row in self.zones.items() if zone not in but)
+        return total_of([row for zone, row in self.zones.items() if zone not in but])
 
     def pack(self) -> dict[str, list[float]]:
         """Return the record under `QUOTA`."""
--- a/tidebend/zone_failover/__init__.py
+++ b/tidebend/zone_failover/__init__.py
@@ -1,6 +1,24 @@
-"""A zone that is lost: when each part of what stands in it is given up, and what will have to move."""
+"""The loss of a zone: when its machines are given up, and which tasks have to move to other zones."""
 
-from tidebend.zone_failover.evacuation import IsolationWindow, MachineContents, leave, order
-from tidebend.zone_failover.relocation import share_of_tasks, without
+from tidebend.zone_failover.evacuation import IsolationWindow, MachineContents, evacuation_order, machines_to_evacuate
+from tidebend.zone_failover.relocation import share_of_tasks, without_lost_zones
 
-__all__ = ["IsolationWindow", "MachineContents", "leave", "order", "share_of_tasks", "without"]
+# FORMER NAMES BEGIN
+
+leave = machines_to_evacuate
+order = evacuation_order
+without = without_lost_zones
+
+# FORMER NAMES END
+
+__all__ = [
+    "IsolationWindow",
+    "MachineContents",
+    "evacuation_order",
+    "leave",  # former name
+    "machines_to_evacuate",
+    "order",  # former name
+    "share_of_tasks",
+    "without",  # former name
+    "without_lost_zones",
+]
--- a/tidebend/zone_failover/relocation.py
+++ b/tidebend/zone_failover/relocation.py
@@ -1,18 +1,24 @@
-"""What will have to move out of lost zones."""
+"""Which tasks have to move out of lost zones, and which holder finds room for them."""
 
 from __future__ import annotations
 
+from collections.abc import Collection, Iterable
 from dataclasses import replace
 
 from tidebend.cluster_state.job_records import Job
 
 
-def without(job: Job, lost: set[str]) -> Job | None:
-    """The job as it will be once all that it has in lost zones is given up; None if it has nothing there."""
+def without_lost_zones(job: Job, lost: Collection[str]) -> Job | None:
+    """Return the job as it is once its allocations in lost zones are given up; None if it has none there."""
     left = tuple(allocation for allocation in job.allocations if allocation.zone not in lost)
-    return None if len(left) == len(job.allocations) else replace(job, allocations=left)
+    if len(left) == len(job.allocations):
+        return None
+    return replace(job, allocations=left)
 
 
-def share_of_tasks(tasks: int, numbers: list[int], of: int) -> int:
-    """How many of a job's tasks fall to the holders with these numbers, of so many: each to just one of them."""
+def share_of_tasks(tasks: int, numbers: Iterable[int], of: int) -> int:
+    """Return how many of a job's tasks the holders with some numbers, out of `of`, find room for.
+
+    Each task falls to exactly one holder, and the shares of two holders differ by one task at the most.
+    """
     return sum(tasks // of + (number < tasks % of) for number in numbers)
