--- /dev/null
+++ b/tests/test_stored_records.py
@@ -0,0 +1,165 @@
+"""Records as commit b21e54f wrote them are read as that commit read them, and written back identically.
+
+`samples/stored_records.json` was made once with the code of that commit, from the scene that it holds: `changes` are
+the changes of the state service, `views` what that commit's cache of jobs showed after some of them, `records` and
+`chunks` further jobs and chunks that it packed, the latter with the number of their first task. While the scene begins
+the first format version is written, and from the middle on the second.
+"""
+
+import json
+import threading
+from pathlib import Path
+
+import pytest
+
+from tests.test_scenarios import Scenario
+from tests.test_upgrade import kind, shape
+from tidebend.cluster_state.final_states import FinalState, pack_final, unpack_final
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.record_chunks import CHUNK, Chunk, ChunkIndex
+from tidebend.coordination import LEADER, NODE, SHARD
+from tidebend.coordination.coordinator import ZONE
+from tidebend.coordination.schema_version import FORMAT, READS
+from tidebend.kvclient import FINAL
+from tidebend.quota import QUOTA, TEAM, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
+
+SAMPLES = json.loads((Path(__file__).parent / "samples" / "stored_records.json").read_text())
+ZONES = ("north", "south", "west")
+WRITTEN = [(key, value) for _, key, value in SAMPLES["changes"] if value is not None]
+
+
+def recorded(prefix):
+    rows = [(key[len(prefix) :], value) for key, value in WRITTEN if key.startswith(prefix)]
+    assert rows, prefix  # the sample has some of each kind
+    return rows
+
+
+def as_stored(value):
+    return json.loads(json.dumps(value))
+
+
+def test_jobs_are_written_back_as_they_were():
+    records = [*SAMPLES["records"], *((key, value) for key, value in WRITTEN if key.startswith((JOB, HEAD)))]
+    assert {key.startswith(JOB) for key, _ in records} == {True, False}
+    assert {name for _, value in records for name in value} == {
+        *("spec", "at", "cancelled", "awaits", "ready", "parts", "started", "ended", "done", "claims")
+    }
+    for key, value in records:
+        job = Job.unpack(key.rpartition("/")[2], value, 7)
+        assert as_stored(job.pack()) == value and list(job.pack()) == list(value)
+        assert job.key == key
+
+
+def test_chunks_are_written_back_as_they_were():
+    chunks = list(SAMPLES["chunks"])
+    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD) if "parts" in value}
+    for name, value in recorded(CHUNK):
+        job, _, number = name.rpartition("/")
+        chunks.append([int(number) * sizes[job], value])
+    assert {name for _, value in chunks for name in value} == {"started", "ended", "done", "claims", "source"}
+    for first, value in chunks:
+        chunk = Chunk.unpack(value, 7, first)
+        assert as_stored(chunk.pack(first)) == value and list(chunk.pack(first)) == list(value)
+        assert chunk.version == 7 and all(allocation.tasks >> first for allocation in chunk.allocations)
+
+
+def test_teams_and_quotas_are_written_back_as_they_were():
+    for name, value in recorded(TEAM):
+        index = UsageIndex()
+        index.on_change(TEAM + name, value, 7)
+        usage = index.team(name)
+        assert usage.version == 7 and as_stored(usage.pack()) == value
+        assert usage.charged == tuple(value) and usage == TeamUsage(*value, 7, QuotaAmount(*value))
+    for _, value in recorded(QUOTA):
+        quotas = ZoneQuotas.unpack(value, 7)
+        assert quotas.version == 7 and as_stored(quotas.pack()) == value
+        assert all(quotas.zones[zone] == tuple(row) for zone, row in value.items())
+
+
+def test_final_states_of_both_format_versions_are_written_back_as_they_were():
+    values = [value for _, value in recorded(FINAL)]
+    assert {type(value) for value in values} == {str, dict}
+    for value in values:
+        final = unpack_final(value)
+        assert as_stored(pack_final(final.state, final.at, plain=isinstance(value, str))) == value
+        assert final == (FinalState(value, 0.0) if isinstance(value, str) else (value["state"], value["at"]))
+
+
+def view(cache, names):
+    """What a cache shows, as the sample holds it."""
+    usages = {" ".join(zones): cache.team("team", zones) for zones in ((), ("north",), ("south", "west"))}
+    return as_stored(
+        {
+            "jobs": {job.id: view_of_job(job) for job in cache.live()},
+            "finals": {name: cache.final(name) for name in names},
+            "dependents": {name: sorted(rows) for name, rows in cache.dependents().items()},
+            "unresolved": cache.unresolved(),
+            "machines": {
+                machine: [[job.id, f"{allocation.tasks:x}"] for job, allocation in cache.on_machine(machine)]
+                for machine in sorted(cache.machines())
+            },
+            "team": {zones: [usage.cpus, usage.gpus, usage.version, usage.charged] for zones, usage in usages.items()},
+            "used": {zone: cache.used("team", (zone,)) for zone in ZONES},
+            "chunk_versions": {job.id: cache.chunk_versions(job.id) for job in cache.live()},
+        }
+    )
+
+
+def view_of_job(job):
+    return {
+        "key": job.key,
+        "pending": f"{job.pending:x}",
+        "done": f"{job.done:x}",
+        "started": job.started,
+        "ended": job.ended,
+        "charged": job.charged,
+        "startable_since": job.startable_since,
+        "blocked": job.blocked,
+        "cancelled": job.cancelled,
+        "dependencies": job.dependencies,
+        "allocations": [
+            [row.machine, row.session, row.attempt, f"{row.tasks:x}", row.at, row.zone] for row in job.allocations
+        ],
+    }
+
+
+def test_the_cache_shows_the_same_as_it_did_and_its_jobs_in_the_same_order():
+    cache = JobCache(threading.RLock(), 100)
+    expected = {row.pop("after"): row for row in as_stored(SAMPLES["views"])}
+    names = set()
+    for number, (version, key, value) in enumerate(SAMPLES["changes"], 1):
+        cache.on_change(key, value, version)
+        if key.startswith(FINAL):
+            names.add(key[len(FINAL) :])
+        if number in expected:
+            shown = view(cache, sorted(names))
+            assert shown == expected[number], number
+            assert list(shown["jobs"]) == list(expected[number]["jobs"])
+    assert any(job["blocked"] for row in expected.values() for job in row["jobs"].values())
+    assert any(row["chunk_versions"][name] for row in expected.values() for name in row["jobs"])
+
+
+@pytest.fixture(scope="module")
+def written_today(tmp_path_factory):
+    path = tmp_path_factory.mktemp("scene") / "scene.txt"
+    path.write_text("\n".join(SAMPLES["scene"]))
+    return [(row["put"], row["v"]) for row in Scenario(path).run().state.changes if "put" in row]
+
+
+@pytest.mark.parametrize("prefix", [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM, QUOTA, FINAL, JOB, HEAD, CHUNK])
+def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
+    def forms(rows):
+        return {(kind(key), json.dumps(shape(value), default=str)) for key, value in rows if key.startswith(prefix)}
+
+    def without_contents(form):
+        """A job's allocations and a node's unreachable peers are lists that may have any length."""
+        name, text = form
+        value = json.loads(text)
+        for field in ("claims", "unheard"):
+            if isinstance(value, dict) and field in value:
+                value[field] = "list"
+        return name, json.dumps(value)
+
+    then, now = ({without_contents(form) for form in forms(rows)} for rows in (WRITTEN, written_today))
+    assert then and now == then
