--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -119,7 +119,8 @@
         "cancelled": job.cancelled,
         "dependencies": job.dependencies,
         "allocations": [
-            [row.machine, row.session, row.attempt, f"{row.tasks:x}", row.at, row.zone] for row in job.allocations
+            [row.machine, row.session, row.attempt, f"{row.tasks:x}", row.allocated_at, row.zone]
+            for row in job.allocations
         ],
     }
 
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -23,9 +23,18 @@
     session: int  # the worker's session; a later one has killed all tasks of this one
     attempt: int  # counts the allocation events of the job
     tasks: int  # bitmap
-    at: float  # time of day at which it was recorded, in seconds
+    allocated_at: float  # time of day in seconds, just before it was recorded
     zone: str
 
+    # FORMER NAMES BEGIN
+
+    @property
+    def at(self) -> float:
+        """Former name of `allocated_at`."""
+        return self.allocated_at
+
+    # FORMER NAMES END
+
 
 def pack_allocations(allocations: Iterable[Allocation]) -> list[list[Any]]:
     """Return the form in records: `[session, attempt, time, zone, [machine, tasks, machine, tasks, ...]]` per group.
@@ -35,7 +44,7 @@
     """
     groups: dict[_GroupKey, list[str]] = {}
     for allocation in allocations:
-        group = (allocation.session, allocation.attempt, round(allocation.at, 1), allocation.zone)
+        group = (allocation.session, allocation.attempt, round(allocation.allocated_at, 1), allocation.zone)
         rows = groups.setdefault(group, [])
         rows += (allocation.machine, to_text(allocation.tasks))
     return [[*group, rows] for group, rows in groups.items()]
@@ -65,4 +74,6 @@
 
 
 def _with_tasks(allocation: Allocation, tasks: int) -> Allocation:
-    return Allocation(allocation.machine, allocation.session, allocation.attempt, tasks, allocation.at, allocation.zone)
+    return Allocation(
+        allocation.machine, allocation.session, allocation.attempt, tasks, allocation.allocated_at, allocation.zone
+    )
--- a/tidebend/cluster_state/job_state.py
+++ b/tidebend/cluster_state/job_state.py
@@ -64,14 +64,14 @@
         return self.done == self.all_tasks
 
     @property
-    def running(self) -> int:
+    def allocated_count(self) -> int:
         """The number of allocated tasks."""
         return sum(allocation.tasks.bit_count() for allocation in self.allocations)
 
     @property
     def charged(self) -> int:
         """The number of tasks that the team's record counts for this job: all that were ever allocated."""
-        return self.ended + self.running
+        return self.ended + self.allocated_count
 
     def per_zone(self) -> dict[str, int]:
         """Return the number of allocated tasks by zone."""
@@ -110,11 +110,12 @@
             elif allocation.tasks & ~removed:
                 left.append(replace(allocation, tasks=allocation.tasks & ~removed))
         new = replace(self, allocations=tuple(left), done=self.done | done)
-        return replace(new, ended=self.ended + self.running - new.running)
+        return replace(new, ended=self.ended + self.allocated_count - new.allocated_count)
 
     # FORMER NAMES BEGIN
 
     claimed = allocated
+    running = allocated_count
     since = startable_since
     places = allocated_on
     with_claims = with_allocations
