--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -520,7 +520,7 @@
         place = CandidateMachine(f"m-{kind.name}", kind, "north", False, Timeline(0.0, (0.0, 0.0, 0.0)))
         rows.append((place, replace(machine_with(), name=f"m-{kind.name}"), (0.0, 0.0, 31.0), [victim]))
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
-    want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, keeps_off_gpus=True)
+    want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, avoids_gpus=True)
     planner.preemptor.for_want(want, 3, list(rows), 0.0)
     assert [bool(machine.stops) for _, machine, _, _ in rows] == [True, False]
 
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -75,7 +75,7 @@
 def test_best_value_per_resource_goes_first():
     # the short one earns the same with less: it starts, the long one is held for afterwards
     placed = map_tasks([want("long", cpus=8.0, estimate_s=50.0), want("short", cpus=8.0)], [place()], 0.0, 100.0)
-    assert [(p.job, p.start, p.now) for p in placed][0] == ("short", 0.0, True)
+    assert [(p.job, p.start, p.starts_now) for p in placed][0] == ("short", 0.0, True)
 
 
 def test_place_holder_is_not_disturbed_by_backfill():
@@ -85,22 +85,27 @@
     filler = want("filler", cpus=4.0, estimate_s=15.0)
     long = want("long", cpus=4.0, estimate_s=30.0)
     placed = {p.job: p for p in map_tasks([high, filler, long], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)}
-    assert (placed["high"].start, placed["high"].now) == (20.0, False)
-    assert (placed["filler"].start, placed["filler"].now) == (0.0, True)
-    assert "long" not in placed or not placed["long"].now
+    assert (placed["high"].start, placed["high"].starts_now) == (20.0, False)
+    assert (placed["filler"].start, placed["filler"].starts_now) == (0.0, True)
+    assert "long" not in placed or not placed["long"].starts_now
 
 
 def test_place_holder_lapses_for_a_better_later_task():
     held = want("held", cpus=8.0)
     first = map_tasks([held], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)
-    assert all(not p.now for p in first)
+    assert all(not p.starts_now for p in first)
     later = map_tasks([want("held", cpus=8.0), want("better", cpus=8.0, priority="high")], [place()], 20.0, 100.0)
-    assert [p.job for p in later if p.now] == ["better"]
+    assert [p.job for p in later if p.starts_now] == ["better"]
 
 
 def test_spread_counts_places_still_held():
     service = TaskRequest(
-        "s", spec(kind="service", spread=True, spot=False, tasks=2), Value(1, 1, 0, 1), 10.0, 1, zones={"north": 1}
+        "s",
+        spec(kind="service", spread=True, spot=False, tasks=2),
+        Value(1, 1, 0, 1),
+        10.0,
+        1,
+        tasks_by_zone={"north": 1},
     )
     placed = map_tasks([service], [place("a"), place("b", "south")], 0.0, 100.0)
     assert [p.machine for p in placed] == ["b"]
@@ -108,14 +113,14 @@
 
 def test_services_never_on_machines_that_are_being_taken():
     taken = place()
-    taken.until = 60.0
+    taken.reclaimed_at = 60.0
     assert map_tasks([want("s", kind="service", estimate_s=0.0)], [taken], 0.0, 100.0) == []
 
 
 def test_gang_starts_whole_or_not():
     assert map_tasks([want("g", kind="gang", tasks=3)], [place()], 0.0, 100.0) == []
     both = map_tasks([want("g", kind="gang", tasks=3)], [place("a"), place("b")], 0.0, 100.0)
-    assert sum(p.tasks for p in both if p.now) == 3
+    assert sum(p.tasks for p in both if p.starts_now) == 3
 
 
 def test_teams_at_their_limit_are_skipped():
@@ -155,10 +160,10 @@
             return placements
         slot, i, j = slots[0]
         w, p = wants[i], places[j]
-        tasks = min(w.waiting, p.timeline.room(slot[6], slot[1], need_of(w.spec)))
-        p.timeline.take(slot[6], slot[1], tuple(part * tasks for part in need_of(w.spec)))
+        tasks = min(w.waiting, p.timeline.room(slot.start, slot.finish, need_of(w.spec)))
+        p.timeline.take(slot.start, slot.finish, tuple(part * tasks for part in need_of(w.spec)))
         w.waiting -= tasks
-        placements.append((w.job, p.name, tasks, slot[6] <= now))
+        placements.append((w.job, p.name, tasks, slot.start <= now))
 
 
 def busy_fleet(random_, machines):
@@ -198,7 +203,7 @@
         for job, _, tasks, starts in plain(deepcopy(wants), deepcopy(places), 0.0, 240.0):
             expected[job] += tasks * starts
         for placement in map_tasks(wants, places, 0.0, 240.0):
-            found[placement.job] += placement.tasks * placement.now
+            found[placement.job] += placement.tasks * placement.starts_now
         same += expected == found
     assert same >= 80
 
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -57,7 +57,7 @@
         missing = max(0, request.waiting - room[zone])
         return (missing > 0 and price[zone] == math.inf, missing, price[zone], machines.get(zone, 0), zone)
 
-    held = [zone for zone, count in request.zones.items() if count]
+    held = [zone for zone, count in request.tasks_by_zone.items() if count]
     return held[0] if held else min(room, key=rank, default="")
 
 
@@ -82,7 +82,7 @@
             and offer.zone in offer.type.zones
             and request.spec.zone in (None, offer.zone)
             and request.zone_room(offer.zone) > 0
-            and not (request.keeps_off_gpus and offer.type.gpus > 0)
+            and not (request.avoids_gpus and offer.type.gpus > 0)
         ]
         boot_s = min((offer.type.boot_s for offer in allowed), default=0.0)
         ready_in = max(0.0, request.not_before - now)
@@ -97,7 +97,7 @@
         fitting = {
             kind.name
             for kind in {capacity.type for capacity in capacities}
-            if kind.fits(request.spec) and not (request.keeps_off_gpus and kind.gpus > 0)
+            if kind.fits(request.spec) and not (request.avoids_gpus and kind.gpus > 0)
         }
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
         by = max(slack, ready_in, boot_s if not request.service else 0.0)
@@ -120,7 +120,7 @@
             tasks = min(missing, times_fit(room, need), request.zone_room(capacity.zone))
             if tasks > 0:
                 capacity.take(need, tasks)
-                request.zones[capacity.zone] = request.zones.get(capacity.zone, 0) + tasks
+                request.tasks_by_zone[capacity.zone] = request.tasks_by_zone.get(capacity.zone, 0) + tasks
                 missing -= tasks
         while missing > 0:
             best = None
@@ -147,6 +147,6 @@
             capacity = Capacity(offer.type, offer.zone, offer.spot, whole, offer.type.boot_s)
             capacity.take(need, tasks)
             capacities.append(capacity)
-            request.zones[offer.zone] = request.zones.get(offer.zone, 0) + tasks
+            request.tasks_by_zone[offer.zone] = request.tasks_by_zone.get(offer.zone, 0) + tasks
             missing -= tasks
     return [Rental(offer, machines) for offer, machines in counts.items()]
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -123,7 +123,7 @@
             usage = usage.plus(spec, tasks.bit_count())
             if team is not None and not team.allows(usage.cpus, usage.gpus):
                 break
-            request.zones[machine.zone] = request.zones.get(machine.zone, 0) + tasks.bit_count()
+            request.tasks_by_zone[machine.zone] = request.tasks_by_zone.get(machine.zone, 0) + tasks.bit_count()
             pending &= ~tasks
             allocations.append(Allocation(machine.name, machine.session, attempt, tasks, at, machine.zone))
         if not allocations or (gang and pending):
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -119,5 +119,5 @@
             machine.name, kind, machine.zone, machine.spot, timeline, set(machine.images), len(fetching)
         )
         if machine.notice_at is not None:
-            place.until = machine.notice_at
+            place.reclaimed_at = machine.notice_at
         return place
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -150,7 +150,7 @@
             largest_share(spec, list(self.types().values())),
             job.since + self.settings.start_aims.get(spec.job_class, math.inf),
             spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values()),
-            avoided=self.completions.avoided(job, now) if is_crash_looping else self._know_the_attempt(job),
+            avoided_machines=self.completions.avoided(job, now) if is_crash_looping else self._know_the_attempt(job),
         )
 
     def _know_the_attempt(self, job: Job) -> frozenset[str]:
@@ -187,7 +187,9 @@
         tasks = ours(left.pending.bit_count() - job.pending.bit_count())
         # where they stand they count for the team's limit already, which has room for them therefore
         return (
-            replace(request, waiting=tasks, headroom=tasks, not_before=clock + SOON_S, moving=True) if tasks else None
+            replace(request, waiting=tasks, headroom=tasks, not_before=clock + SOON_S, relocating=True)
+            if tasks
+            else None
         )
 
     def owed(self, teams: Iterable[str]) -> dict[str, GuaranteeBalance]:
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -65,7 +65,7 @@
             if candidates is None:
                 candidates = []
                 for place, machine, _ in places.values():
-                    if not machine.stops and place.until == math.inf:  # else room is being made here already
+                    if not machine.stops and place.reclaimed_at == math.inf:  # else room is being made here already
                         free, victims = self._victims(machine, place.type, now)
                         if victims:
                             candidates.append((place, machine, free, victims))
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -131,7 +131,7 @@
                 at_hand.setdefault(image, []).append(place)
             # values are of the time of day, and so are the slots
             place.timeline.times = [time_ - now + clock for time_ in place.timeline.times]
-            place.until += clock - now
+            place.reclaimed_at += clock - now
         self.pending_jobs.weigh()
         shards = sorted(self.coordinator.table())
         requests = []
@@ -165,7 +165,7 @@
         )
         chosen: dict[str, list[Placement]] = {}
         for placement in placements:
-            if placement.now:
+            if placement.starts_now:
                 chosen.setdefault(placement.job, []).append(placement)
         self.allocator.allocate(chosen, places)
         self.preemptor.make([request for request in requests if request.waiting > 0], places, now, clock)
--- /dev/null
+++ b/tidebend/scheduling/startable_machines.py
@@ -0,0 +1,35 @@
+"""The machines on which some waiting task could start now."""
+
+from __future__ import annotations
+
+import math
+
+from tidebend.scheduling.resources import EPSILON, need_of, times_fit
+from tidebend.scheduling.task_requests import CandidateMachine, TaskRequest, allowed_on
+
+
+class StartableMachines:
+    """The names of machines on which some waiting task could start now; they only grow fewer within an event."""
+
+    def __init__(self, requests: list[TaskRequest], machines: list[CandidateMachine], now: float) -> None:
+        """Check all machines; requests that may not start yet don't count, unless room is held for them."""
+        self._requests = [
+            (request, need_of(request.spec)) for request in requests if request.not_before <= now or request.relocating
+        ]
+        # most machines are full, and recognized as full by the fewest CPUs that any task needs
+        self._fewest_cpus = min((need[0] for _, need in self._requests), default=math.inf)
+        self.names = {machine.name for machine in machines if self._can_start_any(machine)}
+
+    def recheck(self, machine: CandidateMachine) -> None:
+        """Remove a machine on which nothing can start any more, after a placement on it."""
+        if machine.name in self.names and not self._can_start_any(machine):
+            self.names.discard(machine.name)
+
+    def _can_start_any(self, machine: CandidateMachine) -> bool:
+        free = machine.timeline.free[0]
+        if free[0] + EPSILON < self._fewest_cpus:
+            return False
+        return any(
+            request.waiting > 0 and times_fit(free, need) and allowed_on(request, machine)
+            for request, need in self._requests
+        )
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -1,4 +1,7 @@
-"""What a mapping event is about: places, waiting work, and what is placed where."""
+"""What a mapping event is about: machines, waiting tasks, unmet guarantees, and what is placed where.
+
+Times are seconds on one clock, the event's; the controller uses the time of day.
+"""
 
 from __future__ import annotations
 
@@ -6,102 +9,114 @@
 from dataclasses import dataclass, field
 
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.scheduling.resources import times_fit
+from tidebend.scheduling.resources import UNLIMITED_TASKS, times_fit
 from tidebend.scheduling.timeline import Timeline
 from tidebend.scheduling.value_functions import Value
 
 
 @dataclass(slots=True)
 class CandidateMachine:
-    """A machine as a mapping event sees it."""
+    """A machine as a mapping event sees it; the event changes it by what it places there."""
 
     name: str
     type: MachineType
     zone: str
     spot: bool
     timeline: Timeline
-    images: set[str] = field(default_factory=set)
-    fetching: int = 0  # images being fetched now
-    until: float = math.inf  # when the cloud takes it
+    images: set[str] = field(default_factory=set)  # at hand or being fetched
+    fetching: int = 0  # images that are being fetched now
+    reclaimed_at: float = math.inf  # when the cloud takes the machine back
     changes: int = 0  # placements made on it in this event
 
     def fetch_s(self, spec: JobSpec) -> float:
+        """Seconds until the job's image is on the machine; fetches share its bandwidth."""
         if spec.image in self.images or spec.image_gb <= 0:
             return 0.0
         return self.type.fetch_s(spec.image_gb) * (1 + self.fetching)
 
     def allowed(self, spec: JobSpec) -> bool:
+        """Whether the job's own conditions admit the machine: its type, its zone, and whether it is a spot machine."""
         return (spec.spot or not self.spot) and self.type.fits(spec) and (spec.zone is None or spec.zone == self.zone)
 
 
 @dataclass(slots=True)
 class TaskRequest:
-    """A job's waiting tasks: they are equal in value and size and share one entry."""
+    """A job's waiting tasks: they are alike in value and size and share one entry."""
 
     job: str
     spec: JobSpec
     value: Value
-    estimate: float  # corrected run time
-    waiting: int
-    zones: dict[str, int] = field(default_factory=dict)  # its tasks' places, ended or not yet proven so
-    headroom: int = 1_000_000  # tasks that the team's limit still allows
-    reserved: float | None = None  # the time of day since which it keeps a standing reservation
-    not_before: float = 0.0
-    share: float = 1.0  # the largest of a machine that a task takes
-    start_by: float = math.inf  # time of day by which its tasks should have started, by an aim of its class
-    keeps_off_gpus: bool = False  # it can run without them, and so leaves them to those that can't
-    avoided: frozenset[str] = frozenset()  # machines on which it has just failed, or that know its attempt
-    moving: bool = False  # it still stands in a lost zone: room is held for it, and nothing of it starts yet
+    estimate: float  # corrected run time of a task, in seconds
+    waiting: int  # tasks that may be placed
+    tasks_by_zone: dict[str, int] = field(default_factory=dict)  # allocated tasks whose end isn't proven
+    headroom: int = UNLIMITED_TASKS  # tasks that the team's limit still allows
+    reserved_since: float | None = None  # since when the job keeps a standing reservation, if it does
+    not_before: float = 0.0  # no task starts earlier
+    resource_share: float = 1.0  # the largest share of a machine that a task takes
+    start_by: float = math.inf  # when its tasks should have started, by the objective of its class
+    avoids_gpus: bool = False  # it can run without them, and leaves them to those that can't
+    avoided_machines: frozenset[str] = frozenset()  # where it has just failed, or that know its attempt
+    relocating: bool = False  # still in a lost zone: room is held for it, and nothing of it starts yet
 
     @property
     def service(self) -> bool:
+        """Whether the tasks are replicas of a service, which never end."""
         return self.spec.kind == "service"
 
     @property
     def gang(self) -> bool:
+        """Whether the tasks have to start together; a gang of which one task waits is placed like an array."""
         return self.spec.kind == "gang" and self.waiting > 1
 
     def zone_room(self, zone: str) -> int:
-        """How many more tasks may be in that zone: `one_zone` and `spread` count the places still held."""
+        """How many more tasks may be in that zone: `one_zone` and `spread` count the tasks that are allocated."""
         spec = self.spec
-        if spec.one_zone and any(held and other != zone for other, held in self.zones.items()):
+        if spec.one_zone and any(tasks and other != zone for other, tasks in self.tasks_by_zone.items()):
             return 0
         if spec.spread:
-            return max(0, (spec.tasks + 1) // 2 - self.zones.get(zone, 0))
+            return max(0, (spec.tasks + 1) // 2 - self.tasks_by_zone.get(zone, 0))
         return self.waiting
 
+    def add_to_zone(self, zone: str, tasks: int) -> None:
+        """Count tasks that are placed in a zone."""
+        self.tasks_by_zone[zone] = self.tasks_by_zone.get(zone, 0) + tasks
+
 
 @dataclass(slots=True)
 class GuaranteeBalance:
-    """What a team still has to get of its guarantee: CPUs and GPUs."""
+    """What a team still has to get of its guarantee; negative parts are what it has beyond it."""
 
     cpus: float
     gpus: float
 
     def tasks(self, spec: JobSpec) -> int:
+        """How many of the job's tasks are within the guarantee."""
         return times_fit((self.cpus, self.gpus, 0.0), (spec.cpus, spec.gpus, 0.0))
 
     def take(self, spec: JobSpec, tasks: int) -> None:
+        """Deduct tasks that are placed."""
         self.cpus -= tasks * spec.cpus
         self.gpus -= tasks * spec.gpus
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
+    """Tasks of one job that are placed on one machine for the same time."""
+
     job: str
     machine: str
     tasks: int
     start: float
     finish: float
-    now: bool  # starts now; otherwise a place-holder
+    starts_now: bool  # otherwise it is a place-holder
 
 
-def allowed_on(request: TaskRequest, place: CandidateMachine) -> bool:
-    """Whether a want may be placed on a machine at all."""
-    if request.keeps_off_gpus and place.type.gpus > 0:
+def allowed_on(request: TaskRequest, machine: CandidateMachine) -> bool:
+    """Whether a request may be placed on a machine at all, however much is free there."""
+    if request.avoids_gpus and machine.type.gpus > 0:
         return False
-    if request.service and place.until < math.inf:
+    if request.service and machine.reclaimed_at < math.inf:
         return False
-    if place.name in request.avoided:
+    if machine.name in request.avoided_machines:
         return False
-    return place.allowed(request.spec)
+    return machine.allowed(request.spec)
--- a/tidebend/scheduling/value_functions.py
+++ b/tidebend/scheduling/value_functions.py
@@ -1,4 +1,8 @@
-"""What a job is worth and until when: the paper's value functions, and demands along pipelines."""
+"""What a job is worth and until when: the paper's value functions, and demands along pipelines.
+
+Section 2 of Khemka et al., "Resource Management in Heterogeneous Parallel Computing Environments with Soft and Hard
+Deadlines". Times are times of day in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +16,8 @@
 FINAL_SHARE = 0.4
 # what lies within its team's guarantee is worth this many times what is borrowed
 GUARANTEE_WORTH = 2.0
+# each priority is worth this many times the one below it
+WORTH_PER_PRIORITY = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,60 +25,72 @@
     """The paper's value function: constant to the soft deadline, linear to the hard one, then nothing."""
 
     start: float
-    final: float
+    final: float  # value at the hard deadline
     soft: float
     hard: float
 
     def at(self, finish: float) -> float:
+        """The value of a task that ends then."""
         if finish <= self.soft:
             return self.start
         if finish > self.hard:
             return 0.0
         span = self.hard - self.soft
-        return self.start - (self.start - self.final) * (finish - self.soft) / span if span > 0 else self.final
+        if span <= 0:
+            return self.final
+        return self.start - (self.start - self.final) * (finish - self.soft) / span
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a job, and all that need it, ask of it: the greatest priority, and by when it must be over for their
-    deadlines to be met."""
+    """What a job, and all jobs that need it, ask of it: a priority, and by when it must end for their deadlines."""
 
-    rank: int
+    rank: int  # the greatest priority, as an index of `PRIORITIES`
     soft: float = math.inf
     hard: float = math.inf
 
+    def joined_with(self, dependent: Demand, length: float) -> Demand:
+        """With the demand of a job that needs this one and takes so many seconds after it."""
+        return Demand(
+            max(self.rank, dependent.rank),
+            min(self.soft, dependent.soft - length),
+            min(self.hard, dependent.hard - length),
+        )
+
 
 def demands(own: dict[str, Demand], length: dict[str, float], after: dict[str, list[str]]) -> dict[str, Demand]:
     """Demands along the graph of jobs that need one another: the remaining critical path goes off each deadline.
 
-    `length`: how long a job takes once it is ready; `after`: for each job those that need it. Neither order nor depth
-    of the graph is bounded, so there is no recursion.
+    `own`: what jobs ask for by themselves; `length`: seconds that a job takes once it is ready; `after`: for each job
+    those that need it, of which any that `own` doesn't have are ignored. Neither order nor depth of the graph is
+    bounded, so there is no recursion. The graph must have no cycle.
     """
-    found: dict[str, Demand] = {}
-    left = list(after)
-    while left:
-        name = left[-1]
-        if name in found or name not in own:
-            left.pop()
+    joined: dict[str, Demand] = {}
+    stack = list(after)
+    while stack:
+        name = stack[-1]
+        if name in joined or name not in own:
+            stack.pop()
             continue
-        missing = [other for other in after.get(name, ()) if other in own and other not in found]
+        missing = [other for other in after.get(name, ()) if other in own and other not in joined]
         if missing:
-            left += missing
+            stack += missing
             continue
-        left.pop()
+        stack.pop()
         demand = own[name]
         for other in after.get(name, ()):
-            if other in found:
-                ask, takes = found[other], length[other]
-                demand = Demand(
-                    max(demand.rank, ask.rank), min(demand.soft, ask.soft - takes), min(demand.hard, ask.hard - takes)
-                )
-        found[name] = demand
-    return found
+            if other in joined:
+                demand = demand.joined_with(joined[other], length[other])
+        joined[name] = demand
+    return joined
 
 
 def own_demand(spec: JobSpec, submitted: float, estimate: float, late: float = 1.0) -> Demand:
-    """What a job asks for by itself; a deadline that is aimed at `late` times over as well is a hard one."""
+    """What a job asks for by itself, `estimate` being its run time in seconds.
+
+    Its hard deadline comes one estimate after its own deadline, or `late` times its own deadline after it was
+    submitted, if its class has an objective for those that are late as well; whichever is later.
+    """
     rank = PRIORITIES.index(spec.priority)
     if spec.deadline_s is None:
         return Demand(rank)
@@ -81,13 +99,16 @@
 
 
 def value_of(demand: Demand, since: float, estimate: float, within_guarantee: bool = False) -> Value:
-    """Soft deadline: the job's own or what is left of a later one's, else one estimate after it could first start;
-    the hard one is an estimate later, or as demanded."""
-    # priority sets the starting value (DESIGN); each step is worth ten of the one below
-    start = 10.0**demand.rank * (GUARANTEE_WORTH if within_guarantee else 1.0)
+    """The value function of a job that could first start at `since` and runs for `estimate` seconds.
+
+    Soft deadline: as demanded, else one estimate after the job could first start. Hard deadline: as demanded, else
+    another estimate later.
+    """
+    start = WORTH_PER_PRIORITY**demand.rank * (GUARANTEE_WORTH if within_guarantee else 1.0)
+    final = start * FINAL_SHARE
     if demand.soft == math.inf:
-        return Value(start, start * FINAL_SHARE, since + estimate, since + estimate + max(estimate, EPSILON))
-    return Value(start, start * FINAL_SHARE, demand.soft, max(demand.hard, demand.soft + EPSILON))
+        return Value(start, final, since + estimate, since + estimate + max(estimate, EPSILON))
+    return Value(start, final, demand.soft, max(demand.hard, demand.soft + EPSILON))
 
 
 def is_reserved(value: Value, now: float) -> bool:
--- a/tidebend/scheduling/value_per_resource.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -1,201 +1,293 @@
-"""Maximum value per resource with place-holders (Khemka et al.): one mapping event."""
+"""Maximum value per resource with place-holders: one mapping event.
+
+The heuristic is that of Khemka et al., "Resource Management in Heterogeneous Parallel Computing Environments with Soft
+and Hard Deadlines": value functions with soft and hard deadlines (section 2), mapping events (section 3.1), ties among
+machines (section 3.2), and the pick by value per resource with place-holders (section 3.3). `docs/design.md` says what
+differs from the paper, and why.
+
+Everything here is a pure function of its arguments: no clock, no random numbers, no I/O.
+"""
 
 from __future__ import annotations
 
 import math
 from heapq import heappop, heappush
+from typing import NamedTuple
 
 from tidebend.scheduling.gang_placement import place_gang
-from tidebend.scheduling.resources import EPSILON, need_of, times_fit
+from tidebend.scheduling.resources import multiply, need_of, times_fit
 from tidebend.scheduling.slots import Slot, best_slot, rate_of
+from tidebend.scheduling.startable_machines import StartableMachines
 from tidebend.scheduling.task_requests import CandidateMachine, GuaranteeBalance, Placement, TaskRequest, allowed_on
 
-# busy machines that an event looks at together when a want's best slot may be on one of them
-LOOK = 8
+# busy machines whose slots are computed together, once a request's best slot may be on one of them
+BUSY_MACHINES_BATCH = 8
+# stands for the busy machines of a request that have no slots on the heap yet
+_NEXT_BUSY_MACHINES = -1
+# in a tie of value and finish, a bound comes after every slot: no task adds as many idle gaps
+_GAPS_OF_BOUND = 3
+
+
+def map_tasks(
+    requests: list[TaskRequest],
+    machines: list[CandidateMachine],
+    now: float,
+    horizon: float,
+    unmet_guarantees: dict[str, GuaranteeBalance] | None = None,
+) -> list[Placement]:
+    """Place waiting tasks on machines, in one mapping event.
+
+    `now` is the time of day in seconds, as are the machines' timelines; no slot starts later than `horizon` seconds
+    after it. `unmet_guarantees` are what teams have still to get of their guarantees, by team. Requests, machines and
+    unmet guarantees are changed by what is placed. Place-holders are among the result; they guard their slots within
+    the event only, and lapse with it.
+    """
+    return MappingEvent(requests, machines, now, horizon, unmet_guarantees).run()
+
 
+class MappingEvent:
+    """The order in which requests are placed: services, then guarantees, then what is borrowed from other teams."""
 
-class _Startable:
-    """The machines on which some waiting task could start now."""
+    def __init__(
+        self,
+        requests: list[TaskRequest],
+        machines: list[CandidateMachine],
+        now: float,
+        horizon: float,
+        unmet_guarantees: dict[str, GuaranteeBalance] | None = None,
+    ) -> None:
+        """See `map_tasks`. Requests of teams that are at their limit are skipped."""
+        self.requests = [request for request in requests if request.waiting > 0 and request.headroom > 0]
+        self.machines = machines
+        self.now = now
+        self.latest_start = now + horizon
+        self.unmet_guarantees = unmet_guarantees or {}
+        self.placements: list[Placement] = []
+        # once nothing can start anywhere the event is over: what it would still hold lapses with it
+        self.startable = StartableMachines(self.requests, machines, now)
+        self.open_machines = {index for index, machine in enumerate(machines) if machine.name in self.startable.names}
 
-    def __init__(self, requests: list[TaskRequest], places: list[CandidateMachine], now: float) -> None:
-        self._needs = [
-            (request, need_of(request.spec)) for request in requests if request.not_before <= now or request.moving
-        ]
-        # most machines are full, and seen to be so by the least that any task needs
-        self._least = min((need[0] for _, need in self._needs), default=math.inf)
-        self.names = {place.name for place in places if self._any(place)}
+    def run(self) -> list[Placement]:
+        """Place services, then standing reservations, the oldest first, then the pick by value per resource.
 
-    def _any(self, place: CandidateMachine) -> bool:
-        free = place.timeline.free[0]
-        if free[0] + EPSILON < self._least:
+        Tasks within their team's guarantee go ahead of borrowed ones, in the same order. Guards against a team that
+        borrows and has work waiting for so long that its standing reservations take all the room that comes free.
+        Borrowed tasks of a higher priority take part on equal terms. Guards against a pipeline's urgent steps that
+        wait behind another team's arrays.
+
+        Room for replicas that will have to leave a lost zone is held along with the services, by place-holders that
+        lapse with the event as others do. They go together since the pick then gives a slot on a machine that has the
+        image to the request that it saves the fetch.
+        """
+        self._pick([request for request in self.requests if request.service])
+        batch = [request for request in self.requests if not request.service]
+        guaranteed = frozenset(request.job for request in batch if self._is_within_guarantee(request))
+        first = self._guaranteed_or_of_higher_priority(batch, guaranteed)
+        self._reservations_then_pick(first, guaranteed)
+        # a guaranteed task that found no slot won't find one in what is left: an event goes over each request once
+        done = {request.job for request in first if request.job not in guaranteed or self._is_within_guarantee(request)}
+        rest = [request for request in batch if request.job not in done and request.waiting > 0]
+        self._reservations_then_pick(rest)
+        return self.placements
+
+    def placeable_tasks(self, request: TaskRequest, within_guarantee: bool) -> int:
+        """How many tasks of a request may be placed now, all of them or those within its team's guarantee."""
+        most = min(request.waiting, request.headroom)
+        if within_guarantee:
+            most = min(most, self.unmet_guarantees[request.spec.team].tasks(request.spec))
+        return most
+
+    def count_toward_guarantee(self, request: TaskRequest, tasks: int) -> None:
+        """Deduct placed tasks from what their team has still to get of its guarantee, if it has one."""
+        balance = self.unmet_guarantees.get(request.spec.team)
+        if balance is not None:
+            balance.take(request.spec, tasks)
+
+    def _is_within_guarantee(self, request: TaskRequest) -> bool:
+        """Whether some of its tasks, or all of a gang's, are within what its team has still to get."""
+        if request.spec.team not in self.unmet_guarantees:
             return False
-        return any(
-            request.waiting > 0 and times_fit(free, need) and allowed_on(request, place)
-            for request, need in self._needs
-        )
+        least = request.waiting if request.gang else 1
+        return self.placeable_tasks(request, within_guarantee=True) >= least
 
-    def look_again(self, place: CandidateMachine) -> None:
-        if place.name in self.names and not self._any(place):
-            self.names.discard(place.name)
+    @staticmethod
+    def _guaranteed_or_of_higher_priority(batch: list[TaskRequest], guaranteed: frozenset[str]) -> list[TaskRequest]:
+        """Guaranteed requests, and borrowed ones whose starting value is above the least of the guaranteed."""
+        least_value = min((request.value.start for request in batch if request.job in guaranteed), default=math.inf)
+        return [request for request in batch if request.job in guaranteed or request.value.start > least_value]
 
+    def _reservations_then_pick(self, requests: list[TaskRequest], guaranteed: frozenset[str] = frozenset()) -> None:
+        """Place standing reservations one by one, the oldest first; then pick among the others."""
+        reserved = [(request.reserved_since, request) for request in requests if request.reserved_since is not None]
+        for _, request in sorted(reserved, key=lambda pair: (pair[0], pair[1].job)):
+            self._pick([request], guaranteed)
+        self._pick([request for request in requests if request.reserved_since is None], guaranteed)
+
+    def _pick(self, requests: list[TaskRequest], guaranteed: frozenset[str] = frozenset()) -> None:
+        if requests and self.startable.names:
+            _Pick(self, requests, guaranteed).run()
 
-def map_tasks(
-    requests: list[TaskRequest],
-    places: list[CandidateMachine],
-    now: float,
-    horizon: float,
-    owed: dict[str, GuaranteeBalance] | None = None,
-) -> list[Placement]:
-    """One mapping event. The place-holders in the result guard their slots within it, and lapse with it.
 
-    `owed`: what teams still have to get of their guarantees; it shrinks by what is placed.
+class _HeapEntry(NamedTuple):
+    """A slot of a request on a machine, or a bound for the slots on its next busy machines."""
+
+    slot: Slot
+    request_index: int
+    machine_index: int  # or _NEXT_BUSY_MACHINES
+    machine_changes: int  # the machine's changes when the slot was computed
+
+
+class _Pick:
+    """The pick among some requests: the slot with the highest value per resource, and after placing it, again.
+
+    Placing changes slots on its machine only, and mostly for the worse. So the best of all slots is the top of a heap,
+    once its machine is found unchanged since the slot was computed; otherwise the slot is computed again.
+
+    Slots on open machines, where something can start now, are computed at once. Those on busy machines are computed a
+    few at a time, in the order in which the first task on each ends: no slot there begins before that, so that a bound
+    on the heap stands for them until a request's best slot may be among them.
     """
-    owed = owed or {}
-    placements: list[Placement] = []
-    latest = now + horizon
-    requests = [
-        request for request in requests if request.waiting > 0 and request.headroom > 0
-    ]  # teams at their limit are skipped
-    # Once nothing can start anywhere the event is over: what it would still hold lapses with it.
-    startable = _Startable(requests, places, now)
-    open_set = {spot for spot, place in enumerate(places) if place.name in startable.names}
-
-    def take(request: TaskRequest, tasks: int) -> None:
-        if request.spec.team in owed:
-            owed[request.spec.team].take(request.spec, tasks)
-
-    def most(request: TaskRequest, owed_only: bool) -> int:
-        """How many tasks of a want may be placed now; `owed_only`: no more than its team is owed."""
-        return min(
-            request.waiting,
-            request.headroom,
-            owed[request.spec.team].tasks(request.spec) if owed_only else request.waiting,
+
+    def __init__(self, event: MappingEvent, requests: list[TaskRequest], guaranteed: frozenset[str]) -> None:
+        """`guaranteed`: jobs of which only what is within their team's guarantee is placed in this pick."""
+        self._event = event
+        self._requests = requests
+        self._guaranteed = guaranteed
+        self._heap: list[_HeapEntry] = []
+        # (end of the first task, index) of busy machines, the earliest first
+        self._busy_machines = sorted(
+            (machine.timeline.times[1], index)
+            for index, machine in enumerate(event.machines)
+            if len(machine.timeline.times) > 1
         )
+        self._offered: dict[int, set[int]] = {}  # request -> open machines that it was offered at the start
+        self._next_busy: dict[int, int] = {}  # request -> position of its next busy machine
 
-    def is_within_guarantee(request: TaskRequest) -> bool:
-        """Whether some of its tasks, or all of a gang's, are within what its team is owed."""
-        return request.spec.team in owed and most(request, True) >= (request.waiting if request.gang else 1)
+    def run(self) -> None:
+        """Place tasks until no slot is left or nothing can start any more. Gangs are placed first come first."""
+        for request_index, request in enumerate(self._requests):
+            if request.gang:
+                self._place_gang(request)
+            else:
+                self._offer_open_machines(request_index)
+                self._push_bound(request_index)
+        startable_names = self._event.startable.names
+        while self._heap and startable_names:
+            self._take_best()
 
-    def run(entries: list[TaskRequest], owed_only: frozenset[str] = frozenset()) -> None:
-        # Placing changes slots only on its machine, and mostly for the worse. So the best of all slots is the top
-        # of a heap, once its machine is found unchanged since the slot was computed.
-        heap: list[tuple[Slot, int, int, int]] = []
+    def _place_gang(self, request: TaskRequest) -> None:
+        event = self._event
+        if not event.placeable_tasks(request, request.job in self._guaranteed) >= request.waiting > 0:
+            return
+        for placement in place_gang(request, event.machines, event.now, event.latest_start) or ():
+            event.placements.append(placement)
+            request.waiting -= placement.tasks
+            event.count_toward_guarantee(request, placement.tasks)
 
-        def offer(entry: int, spot: int) -> None:
-            request, place = entries[entry], places[spot]
-            if request.waiting > 0 and request.headroom > 0:
-                slot = best_slot(request, place, now, latest)
-                if slot is not None:
-                    heappush(heap, (slot, entry, spot, place.changes))
+    def _offer_open_machines(self, request_index: int) -> None:
+        request = self._requests[request_index]
+        machines = self._event.machines
+        need = need_of(request.spec)
+        offered = {
+            index
+            for index in self._event.open_machines
+            if times_fit(machines[index].timeline.free[0], need) and allowed_on(request, machines[index])
+        }
+        self._offered[request_index] = offered
+        self._next_busy[request_index] = 0
+        for machine_index in offered:
+            self._push_slot(request_index, machine_index)
 
-        if not startable.names or not entries:
+    def _push_slot(self, request_index: int, machine_index: int) -> None:
+        """Put a request's best slot on a machine on the heap, if there is one."""
+        request = self._requests[request_index]
+        if request.waiting < 1 or request.headroom < 1:
             return
-        # the other machines in the order in which the first task on each ends
-        order = sorted(
-            (place.timeline.times[1], spot) for spot, place in enumerate(places) if len(place.timeline.times) > 1
-        )
-        offered: dict[int, set[int]] = {}
-        looked: dict[int, int] = {}  # entry -> how far into that order it has looked
-
-        def look_later(entry: int) -> None:
-            request, at = entries[entry], looked[entry]
-            if at < len(order) and request.waiting > 0:
-                start = max(request.not_before, order[at][0])
-                if start <= latest:
-                    finish = start + request.estimate
-                    bound = (-rate_of(request, finish, now), round(finish, 3), 3, 0.0, 0.0, "", start)
-                    heappush(heap, (bound, entry, -1, 0))
-
-        for entry, request in enumerate(entries):
-            if request.gang:
-                if most(request, request.job in owed_only) >= request.waiting > 0:
-                    for placement in place_gang(request, places, now, latest) or ():
-                        placements.append(placement)
-                        request.waiting -= placement.tasks
-                        take(request, placement.tasks)
-                continue
-            # Slots on other machines are computed a few at a time, once the want's best one may be among them: none
-            # begins before the first task there ends.
-            need = need_of(request.spec)
-            offered[entry] = {
-                spot
-                for spot in open_set
-                if times_fit(places[spot].timeline.free[0], need) and allowed_on(request, places[spot])
-            }
-            looked[entry] = 0
-            for spot in offered[entry]:
-                offer(entry, spot)
-            look_later(entry)
-        while heap and startable.names:
-            slot, entry, spot, changes = heappop(heap)
-            limited = entries[entry].job in owed_only
-            if limited and most(entries[entry], limited) < 1:
-                continue  # its team has all that it is owed
-            if spot < 0:
-                request, at = entries[entry], looked[entry]
-                looked[entry] = at + LOOK
-                for _, spot in order[at : at + LOOK]:
-                    place = places[spot]
-                    if (
-                        spot not in offered[entry]
-                        and allowed_on(request, place)
-                        and (not place.changes or place.name in startable.names)
-                    ):
-                        offer(entry, spot)
-                look_later(entry)
-                continue
-            request, place = entries[entry], places[spot]
-            if changes != place.changes:
-                if place.name in startable.names:
-                    offer(entry, spot)
+        machine = self._event.machines[machine_index]
+        slot = best_slot(request, machine, self._event.now, self._event.latest_start)
+        if slot is not None:
+            heappush(self._heap, _HeapEntry(slot, request_index, machine_index, machine.changes))
+
+    def _push_bound(self, request_index: int) -> None:
+        """Put the best that a slot on the next busy machines can be on the heap."""
+        request = self._requests[request_index]
+        position = self._next_busy[request_index]
+        if position >= len(self._busy_machines) or request.waiting < 1:
+            return
+        start = max(request.not_before, self._busy_machines[position][0])
+        if start > self._event.latest_start:
+            return
+        finish = start + request.estimate
+        rate = rate_of(request, finish, self._event.now)
+        bound = Slot(-rate, round(finish, 3), _GAPS_OF_BOUND, 0.0, 0.0, "", start)
+        heappush(self._heap, _HeapEntry(bound, request_index, _NEXT_BUSY_MACHINES, 0))
+
+    def _take_best(self) -> None:
+        """Take the top of the heap: place it, compute it again, or look at the next busy machines."""
+        slot, request_index, machine_index, machine_changes = heappop(self._heap)
+        request = self._requests[request_index]
+        within_guarantee = request.job in self._guaranteed
+        if within_guarantee and self._event.placeable_tasks(request, within_guarantee) < 1:
+            return  # its team has all of its guarantee
+        if machine_index == _NEXT_BUSY_MACHINES:
+            self._offer_busy_machines(request_index)
+            self._push_bound(request_index)
+            return
+        machine = self._event.machines[machine_index]
+        if machine_changes == machine.changes:
+            placed = self._place(request, machine, slot, within_guarantee)
+            if not placed:
+                return
+        # A busy machine, where nobody can start now, takes one place-holder in an event: who comes later finds another,
+        # and what an event costs stays in proportion to the machines, however much is waiting.
+        if machine.name in self._event.startable.names:
+            self._push_slot(request_index, machine_index)
+
+    def _offer_busy_machines(self, request_index: int) -> None:
+        """Compute a request's slots on its next busy machines."""
+        request = self._requests[request_index]
+        offered = self._offered[request_index]
+        startable_names = self._event.startable.names
+        position = self._next_busy[request_index]
+        self._next_busy[request_index] = position + BUSY_MACHINES_BATCH
+        for _, machine_index in self._busy_machines[position : position + BUSY_MACHINES_BATCH]:
+            if machine_index in offered:
                 continue
-            finish, start = slot[1], slot[6]
-            need = need_of(request.spec)
-            tasks = min(most(request, limited), request.zone_room(place.zone), place.timeline.room(start, finish, need))
-            if tasks < 1:
+            machine = self._event.machines[machine_index]
+            if not allowed_on(request, machine):
                 continue
-            if request.service:
-                tasks = 1  # replicas are told apart by where they run
-            place.timeline.take(start, math.inf if request.service else finish, tuple(part * tasks for part in need))
-            place.changes += 1
-            starts = start <= now
-            if starts and place.fetch_s(request.spec) > 0:
-                place.images.add(request.spec.image)
-                place.fetching += 1
-            placements.append(Placement(request.job, place.name, tasks, start, finish, starts))
-            request.waiting -= tasks
-            request.headroom -= tasks
-            take(request, tasks)
-            request.zones[place.zone] = request.zones.get(place.zone, 0) + tasks
-            # A busy machine, where nobody can start now, takes one place-holder in an event: who comes later finds
-            # another, and what an event costs stays in proportion to the machines, however much is waiting.
-            startable.look_again(place)
-            if place.name in startable.names:
-                offer(entry, spot)
-
-    # Services go first; then standing reservations, the oldest before the others; then the pick. What a
-    # team is owed of its guarantee goes ahead of what is borrowed, in the same order: guards against a team that
-    # borrows and has work waiting for so long that its standing reservations take all the room that comes free.
-    # Borrowed work of a higher priority takes part on equal terms: guards against a pipeline's urgent steps that come
-    # behind another team's arrays.
-    # Room is held with them for replicas that will have to leave a lost zone, by place-holders that lapse with the
-    # event as others do. Together, since the pick then gives a slot with an image at hand to whom it saves the fetch.
-    run([request for request in requests if request.service])
-    others = [request for request in requests if not request.service]
-    promised = frozenset(request.job for request in others if is_within_guarantee(request))
-    least = min((request.value.start for request in others if request.job in promised), default=math.inf)
-
-    def in_order(entries: list[TaskRequest], owed_only: frozenset[str]) -> None:
-        for request in sorted(
-            (request for request in entries if request.reserved is not None),
-            key=lambda request: (request.reserved, request.job),
-        ):
-            run([request], owed_only)
-        run([request for request in entries if request.reserved is None], owed_only)
-
-    first = [request for request in others if request.job in promised or request.value.start > least]
-    in_order(first, promised)
-    # what is owed and found no slot won't find one in what is left: an event goes over each want once
-    tried = {request.job for request in first if request.job not in promised or is_within_guarantee(request)}
-    in_order([request for request in others if request.job not in tried and request.waiting > 0], frozenset())
-    return placements
+            if not machine.changes or machine.name in startable_names:
+                self._push_slot(request_index, machine_index)
+
+    def _place(self, request: TaskRequest, machine: CandidateMachine, slot: Slot, within_guarantee: bool) -> bool:
+        """Place as many tasks as the slot has room for; false if none may be placed any more."""
+        need = need_of(request.spec)
+        tasks = min(
+            self._event.placeable_tasks(request, within_guarantee),
+            request.zone_room(machine.zone),
+            machine.timeline.room(slot.start, slot.finish, need),
+        )
+        if tasks < 1:
+            return False
+        end = slot.finish
+        if request.service:
+            tasks = 1  # replicas are told apart by where they run
+            end = math.inf
+        machine.timeline.take(slot.start, end, multiply(need, tasks))
+        machine.changes += 1
+        self._record(request, machine, slot, tasks)
+        self._event.startable.recheck(machine)
+        return True
+
+    def _record(self, request: TaskRequest, machine: CandidateMachine, slot: Slot, tasks: int) -> None:
+        """Account for a placement: the image that is fetched for it, the request's tasks, its team's guarantee."""
+        starts_now = slot.start <= self._event.now
+        if starts_now and machine.fetch_s(request.spec) > 0:
+            machine.images.add(request.spec.image)
+            machine.fetching += 1
+        placement = Placement(request.job, machine.name, tasks, slot.start, slot.finish, starts_now)
+        self._event.placements.append(placement)
+        request.waiting -= tasks
+        request.headroom -= tasks
+        request.add_to_zone(machine.zone, tasks)
+        self._event.count_toward_guarantee(request, tasks)
