--- a/tidebend/scheduling/resources.py
+++ b/tidebend/scheduling/resources.py
@@ -33,9 +33,18 @@
     return (amount[0] * tasks, amount[1] * tasks, amount[2] * tasks)
 
 
+def fits(free: Amount, need: Amount) -> bool:
+    """Whether a task of that size fits. (Written out: a mapping event spends most of its time here.)"""
+    return (
+        (need[0] <= EPSILON or free[0] + EPSILON >= need[0])
+        and (need[1] <= EPSILON or free[1] + EPSILON >= need[1])
+        and (need[2] <= EPSILON or free[2] + EPSILON >= need[2])
+    )
+
+
 def times_fit(free: Amount, need: Amount) -> int:
-    """How many tasks of that size fit. (Written out: a mapping event spends most of its time here.)"""
-    most = 1_000_000.0
+    """How many tasks of that size fit; `UNLIMITED_TASKS` if they need nothing."""
+    most = float(UNLIMITED_TASKS)
     amount = need[0]
     if amount > EPSILON:
         most = (free[0] + EPSILON) // amount
--- a/tidebend/scheduling/startable_machines.py
+++ b/tidebend/scheduling/startable_machines.py
@@ -4,7 +4,7 @@
 
 import math
 
-from tidebend.scheduling.resources import EPSILON, need_of, times_fit
+from tidebend.scheduling.resources import EPSILON, fits, need_of
 from tidebend.scheduling.task_requests import CandidateMachine, TaskRequest, allowed_on
 
 
@@ -30,6 +30,6 @@
         if free[0] + EPSILON < self._fewest_cpus:
             return False
         return any(
-            request.waiting > 0 and times_fit(free, need) and allowed_on(request, machine)
+            request.waiting > 0 and fits(free, need) and allowed_on(request, machine)
             for request, need in self._requests
         )
--- a/tidebend/scheduling/timeline.py
+++ b/tidebend/scheduling/timeline.py
@@ -5,7 +5,7 @@
 import math
 from bisect import bisect_right
 
-from tidebend.scheduling.resources import UNLIMITED_TASKS, Amount, subtract, times_fit
+from tidebend.scheduling.resources import UNLIMITED_TASKS, Amount, fits, subtract, times_fit
 
 
 class Timeline:
@@ -50,7 +50,7 @@
             begin = self.times[index]
             if start is not None and begin >= start + length:
                 return start
-            if not times_fit(self.free[index], need):
+            if not fits(self.free[index], need):
                 start = None
             elif start is None:
                 start = max(begin, after)
@@ -65,10 +65,10 @@
         A gap is a time in which a task of that size fits without interruption.
         """
         first = index = self._index(start)
-        while first > 0 and times_fit(self.free[first - 1], need):
+        while first > 0 and fits(self.free[first - 1], need):
             first -= 1
         index += 1
-        while index < len(self.times) and times_fit(self.free[index], need):
+        while index < len(self.times) and fits(self.free[index], need):
             index += 1
         last = self.times[index] if index < len(self.times) else math.inf
         return (start > self.times[first]) + (end < last) - 1, last - self.times[first]
--- a/tidebend/scheduling/value_per_resource.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from tidebend.scheduling.gang_placement import place_gang
-from tidebend.scheduling.resources import multiply, need_of, times_fit
+from tidebend.scheduling.resources import fits, multiply, need_of
 from tidebend.scheduling.slots import Slot, best_slot, rate_of
 from tidebend.scheduling.startable_machines import StartableMachines
 from tidebend.scheduling.task_requests import CandidateMachine, GuaranteeBalance, Placement, TaskRequest, allowed_on
@@ -191,7 +191,7 @@
         offered = {
             index
             for index in self._event.open_machines
-            if times_fit(machines[index].timeline.free[0], need) and allowed_on(request, machines[index])
+            if fits(machines[index].timeline.free[0], need) and allowed_on(request, machines[index])
         }
         self._offered[request_index] = offered
         self._next_busy[request_index] = 0
