--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -19,6 +19,7 @@
 from tidebend.controller.records.completions import ProvenCompletions
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
+from tidebend.controller.scheduler.preemption import MachineWithVictims, Victim
 from tidebend.coordination import shard_of
 from tidebend.kvclient import OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
@@ -134,8 +135,8 @@
 def test_spread_is_checked_against_the_record_of_the_claim(world):
     first, _ = stale_pair(world, a=spec(shape="service", pieces=2, vcpus=1.0, spread=True))
     now = time.monotonic()
-    places = first.planner.free_capacity.all(now, time.time())
-    name = next(name for name, (place, _, _) in places.items() if place.zone == "north")
+    places = first.planner.free_capacity.usable_machines(now, time.time())
+    name = next(name for name, scheduled in places.items() if scheduled.candidate.zone == "north")
     first.planner.allocator.allocate({"a": [Placement("a", name, 2, now, now + 1, True)]}, places)
     assert first.job_cache.get("a").per_zone() == {"north": 1}
 
@@ -274,7 +275,7 @@
         whole(body),
     )[1]
     now = time.monotonic()
-    places = first.planner.free_capacity.all(now, time.time())
+    places = first.planner.free_capacity.usable_machines(now, time.time())
     group = [Placement("a", name, 40, now, now + 1, True) for name in places]
     for _ in range(20):
         first.planner.allocator.allocate({"a": group}, places)
@@ -516,13 +517,14 @@
     ]
     rows = []
     for kind, lost in zip(kinds, (50.0, 0.0), strict=True):
-        victim = (lost, ("req-v", 0, 1), 0.0, (8.0, 0.0, 1.0), 1)
+        victim = Victim(lost, ("req-v", 0, 1), 0.0, (8.0, 0.0, 1.0), 1)
         place = CandidateMachine(f"m-{kind.name}", kind, "north", False, Timeline(0.0, (0.0, 0.0, 0.0)))
-        rows.append((place, replace(machine_with(), name=f"m-{kind.name}"), (0.0, 0.0, 31.0), [victim]))
+        machine = replace(machine_with(), name=f"m-{kind.name}")
+        rows.append(MachineWithVictims(place, machine, (0.0, 0.0, 31.0), [victim]))
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
     want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, avoids_gpus=True)
-    planner.preemptor.for_want(want, 3, list(rows), 0.0)
-    assert [bool(machine.stops) for _, machine, _, _ in rows] == [True, False]
+    planner.preemptor.make_room_for(want, 3, list(rows), 0.0)
+    assert [bool(row.machine.stops) for row in rows] == [True, False]
 
 
 def test_a_gangs_machine_in_a_cut_zone_is_waited_for_while_another_would_boot_and_fetch(world):
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -121,7 +121,7 @@
             late(holder, raw)
             world.steady += 0.5
         assert holder.machine_registry.machines[worker.name].last_heartbeat <= began  # the first alone
-        assert worker.name not in holder.planner.free_capacity.all(world.steady, time.time())
+        assert worker.name not in holder.planner.free_capacity.usable_machines(world.steady, time.time())
 
 
 TROUBLES = {
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -1,4 +1,4 @@
-"""Claims on places: recorded before any start goes out."""
+"""Claims: placements of a mapping event are recorded as allocations, before any start goes out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.task_bitmap import lowest, members
 from tidebend.controller.records.completions import CompletionTracker, ProvenCompletions
 from tidebend.controller.records.job_writer import JobEdit, JobWriter
-from tidebend.controller.scheduler.free_capacity import Found
+from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.pending_jobs import PendingJobs
 from tidebend.coordination import Coordinator
 from tidebend.quota import TeamUsage
@@ -23,6 +23,8 @@
 
 
 class Allocator:
+    """Writes claims, each on condition that its shards are still held and that what it was made from is unchanged."""
+
     def __init__(
         self,
         settings: Settings,
@@ -32,6 +34,7 @@
         pending_jobs: PendingJobs,
         send: Callable[[set[str]], None],
     ) -> None:
+        """`send` sends machines, by name, the commands that follow from the records."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_writer = job_writer
@@ -40,97 +43,156 @@
         self.send = send
         self.last_allocation: dict[str, float] = {}  # job -> steady time of our last claim for it
 
-    def allocate(self, chosen: dict[str, list[Placement]], places: Found) -> None:
+    def allocate(self, placements: dict[str, list[Placement]], machines: dict[str, ScheduledMachine]) -> None:
+        """Record claims for jobs' placements on these machines, and send the starts of those that were recorded.
+
+        A claim that conflicts with another controller's change is left out. Raises `NotExecutedError` or
+        `OutcomeUnknownError` if the state service can't be reached.
+        """
         at = time.time()
-        edits = []
-        for name, group in chosen.items():
-            end = self.completions.proven.get(name)
-            conditions = dict(self.coordinator.condition(places[placement.machine][2]) for placement in group)
-            if end is not None:
-                conditions.update(self.completions.conditions(end))
-            edits.append(JobEdit(name, partial(self._claimed, group=group, places=places, at=at, end=end), conditions))
-        edits = self._ends_first(chosen) + edits
+        claims = [self._claim_edit(name, group, machines, at) for name, group in placements.items()]
+        edits = self._completions_before(placements) + claims
         changed = self.job_writer.change_all(edits) if edits else {}
         now = time.monotonic()
-        for name in changed:
+        for name, job in changed.items():
             self.completions.recorded_with_allocation(name)
-            if name not in chosen:
-                continue
-            if changed[name].running >= sum(placement.tasks for placement in chosen[name]):
-                self.last_allocation[name] = now  # else more of its parts follow at once
-            log.debug("claimed for %s: %s", name, [(p.machine, p.tasks) for p in chosen[name]])
-        self.send({placement.machine for name in changed for placement in chosen.get(name, ())})
+            if name in placements:
+                self._note_claim(job, placements[name], now)
+        self.send({placement.machine for name in changed for placement in placements.get(name, ())})
 
-    def _ends_first(self, chosen: dict[str, list[Placement]]) -> list[JobEdit]:
-        """What has ended of the other jobs of teams whose limit has no room for their claims until that is recorded.
+    def _claim_edit(
+        self, name: str, group: list[Placement], machines: dict[str, ScheduledMachine], at: float
+    ) -> JobEdit:
+        """The claim for one job; completions of its tasks that aren't recorded yet go with it."""
+        end = self.completions.proven.get(name)
+        conditions = dict(self.coordinator.condition(machines[placement.machine].grant) for placement in group)
+        if end is not None:
+            conditions.update(self.completions.conditions(end))
+        make = partial(self._with_claims, group=group, machines=machines, at=at, end=end)
+        return JobEdit(name, make, conditions)
 
-        Deduct before credit: ends come ahead of the claims, in their transaction or in one before it.
+    def _note_claim(self, job: Job, group: list[Placement], now: float) -> None:
+        if job.running >= sum(placement.tasks for placement in group):
+            self.last_allocation[job.id] = now  # else more of its parts follow at once
+        log.debug("claimed for %s: %s", job.id, [(placement.machine, placement.tasks) for placement in group])
+
+    def _completions_before(self, placements: dict[str, list[Placement]]) -> list[JobEdit]:
+        """Completions of other jobs of teams whose limit has no room for their claims until these are recorded.
+
+        Usage is deducted before it is added: completions come ahead of the claims, in their transaction or in one
+        before it.
         """
-        asked: dict[str, TeamUsage] = {}
-        held = self.coordinator.held_zones()
-        for name, group in chosen.items():
-            job = self.job_writer.job_cache.get(name)
-            if job is not None:
-                usage = asked.get(job.spec.team) or self.job_writer.job_cache.team(job.spec.team, held)
-                if name in self.completions.proven:  # these go with the claim anyway
-                    usage = usage.less(self.completions.proven[name].amounts(job.spec))
-                asked[job.spec.team] = usage.plus(job.spec, sum(placement.tasks for placement in group))
-        first: list[JobEdit] = []
-        for name, usage in asked.items():
+        edits: list[JobEdit] = []
+        for name, usage in self._usage_with_claims(placements).items():
             limit = self.settings.teams.get(name)
-            for freed, edit in self.completions.edits_of_team(name) if limit is not None else ():
+            if limit is None:
+                continue
+            for freed, edit in self.completions.edits_of_team(name):
                 # each of them costs a change: no more than make room
                 if limit.allows(usage.cpus, usage.gpus):
                     break
-                if edit.job not in chosen:
+                if edit.job not in placements:
                     usage = usage.less(freed)
-                    first.append(edit)
-        return first
+                    edits.append(edit)
+        return edits
+
+    def _usage_with_claims(self, placements: dict[str, list[Placement]]) -> dict[str, TeamUsage]:
+        """What teams would use once all their placements are claimed."""
+        usages: dict[str, TeamUsage] = {}
+        held = self.coordinator.held_zones()
+        for name, group in placements.items():
+            job = self.job_writer.job_cache.get(name)
+            if job is None:
+                continue
+            team = job.spec.team
+            usage = usages.get(team) or self.job_writer.job_cache.team(team, held)
+            if name in self.completions.proven:  # these go with the claim anyway
+                usage = usage.less(self.completions.proven[name].amounts(job.spec))
+            usages[team] = usage.plus(job.spec, sum(placement.tasks for placement in group))
+        return usages
 
-    def _claimed(
+    def _with_claims(
         self,
         job: Job,
         usage: TeamUsage,
         group: list[Placement],
-        places: Found,
+        machines: dict[str, ScheduledMachine],
         at: float,
         end: ProvenCompletions | None,
     ) -> Job | None:
-        """The job with claims for a group of placements: the rules that span holders are checked against the very
-        records that the transaction compares."""
+        """The job with claims for a group of placements; None if it can't have them.
+
+        The rules that span several controllers' machines are checked against the very records that the transaction
+        compares.
+        """
         if end is not None:
             before, job = job, self.completions.job_without(job, usage, end)
             usage = usage.freed(job.spec, before.running - job.running)
         pending = job.pending
-        spec = job.spec
-        team = self.settings.teams.get(spec.team)
-        gang = spec.kind == "gang"
-        if gang and sum(p.tasks for p in group) != pending.bit_count():
+        gang = job.spec.kind == "gang"
+        if gang and not self._may_claim_gang(job, pending, group, at):
             return None
-        if gang and job.allocations and not self.pending_jobs.still_gathers(job, at):
+        allocations = self._allocations(job, pending, usage, group, machines, at)
+        if not allocations or (gang and sum(allocation.tasks for allocation in allocations) != pending):
             return None
-        # replacements have the attempt of those that wait for them
-        attempt = job.allocations[0].attempt if gang and job.allocations else job.started + 1
+        return self._within_record_limits(job, allocations)
+
+    def _may_claim_gang(self, job: Job, pending: int, group: list[Placement], at: float) -> bool:
+        """Whether the placements are for the whole gang, or complete one that hasn't begun to run."""
+        if sum(placement.tasks for placement in group) != pending.bit_count():
+            return False
+        return not job.allocations or self.pending_jobs.still_gathers(job, at)
+
+    def _allocations(
+        self,
+        job: Job,
+        pending: int,
+        usage: TeamUsage,
+        group: list[Placement],
+        machines: dict[str, ScheduledMachine],
+        at: float,
+    ) -> list[Allocation]:
+        """Allocations of pending tasks, as far as zones' room and the team's limit allow.
+
+        None at all if a task was told to a machine under the same attempt: it would not be started a second time.
+        """
+        spec = job.spec
+        team = self.settings.teams.get(spec.team)
+        attempt = _next_attempt(job)
         request = TaskRequest(job.id, spec, value_of(Demand(0), 0, 1), 1, pending.bit_count(), job.per_zone())
-        allocations = []
+        allocations: list[Allocation] = []
         for placement in group:
-            machine = places[placement.machine][1]
+            machine = machines[placement.machine].machine
             tasks = lowest(pending, min(placement.tasks, request.zone_room(machine.zone)))
             if not tasks:
                 continue
             if attempt <= job.started and any((job.id, index, attempt) in machine.tasks for index in members(tasks)):
-                return None  # it would not be started a second time
-            usage = usage.plus(spec, tasks.bit_count())
+                return []
+            count = tasks.bit_count()
+            usage = usage.plus(spec, count)
             if team is not None and not team.allows(usage.cpus, usage.gpus):
                 break
-            request.tasks_by_zone[machine.zone] = request.tasks_by_zone.get(machine.zone, 0) + tasks.bit_count()
+            request.add_to_zone(machine.zone, count)
             pending &= ~tasks
             allocations.append(Allocation(machine.name, machine.session, attempt, tasks, at, machine.zone))
-        if not allocations or (gang and pending):
-            return None
+        return allocations
+
+    def _within_record_limits(self, job: Job, allocations: list[Allocation]) -> Job | None:
+        """The job with as many of the allocations as its record holds: the rest follows as these end.
+
+        A gang gets all of them, and so does a job that has none yet; None if a job with others has no room for one.
+        """
+        gang = job.spec.kind == "gang"
+        limits = self.job_writer.record_limits
         new = job.with_claims(allocations)
-        while not gang and len(allocations) > 1 and not self.job_writer.record_limits.fits(new, job):
-            # a record holds only so many claims: the rest follows as these end
+        while not gang and len(allocations) > 1 and not limits.fits(new, job):
             allocations = allocations[: len(allocations) // 2]
             new = job.with_claims(allocations)
-        return new if gang or not job.allocations or self.job_writer.record_limits.fits(new, job) else None
+        return new if gang or not job.allocations or limits.fits(new, job) else None
+
+
+def _next_attempt(job: Job) -> int:
+    """The attempt of new claims: a gang's replacements have that of the tasks that wait for them."""
+    if job.spec.kind == "gang" and job.allocations:
+        return job.allocations[0].attempt
+    return job.started + 1
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -1,4 +1,7 @@
-"""Waiting work: what it is worth, how much of it may start, and what pipelines ask of it."""
+"""Pending jobs: what they are worth, how many of their tasks may start, and what pipelines ask of them.
+
+`now` is steady time and `clock` the time of day throughout; value functions are of the time of day.
+"""
 
 from __future__ import annotations
 
@@ -6,6 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import MachineRegistry
@@ -14,8 +18,9 @@
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.quota import TeamUsage
+from tidebend.quota import Amounts, TeamUsage
 from tidebend.scheduling import (
+    EPSILON,
     Demand,
     GuaranteeBalance,
     TaskRequest,
@@ -30,12 +35,16 @@
 from tidebend.zone_failover import without
 
 # what is placed a moment from now holds its slot for the rest of the event, and doesn't start
-SOON_S = 0.001
+PLACE_HOLDER_DELAY_S = 0.001
 # a job none of which has begun keeps a standing reservation after so many of the workers' leases
-PATIENCE = 10.0
+RESERVED_AFTER_LEASES = 10.0
+# the shortest run time that is reckoned with, in seconds
+LEAST_ESTIMATE_S = 0.1
 
 
 class PendingJobs:
+    """Makes requests for mapping events of jobs' pending tasks."""
+
     def __init__(
         self,
         settings: Settings,
@@ -46,6 +55,7 @@
         estimates: RunTimeEstimates,
         completions: CompletionTracker,
     ) -> None:
+        """`types` gives the provider's machine types by name."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_cache = job_cache
@@ -53,22 +63,13 @@
         self.types = types
         self.estimates = estimates
         self.completions = completions
-        self.patience_s = PATIENCE * settings.lease_s
+        self.reserved_after_s = RESERVED_AFTER_LEASES * settings.lease_s
         # a service without an estimate counts as long as a worker's lease when values are compared
-        self.nominal_s = settings.lease_s
-        self._demands: dict[str, Demand] = {}  # of jobs that others need, and of those
-
-    def _own_demand(self, job: Job, estimate: float) -> Demand:
-        return own_demand(job.spec, job.submitted, estimate, self.settings.late_aims.get(job.spec.job_class, 1.0))
-
-    def _step_s(self, spec: JobSpec, estimate: float) -> float:
-        """How long a step of a pipeline takes once it is ready: its start is reported and so is its end, and its
-        image may have to be fetched."""
-        fetch = min((kind.fetch_s(spec.image_gb) for kind in self.types().values() if kind.fits(spec)), default=0.0)
-        return estimate + fetch + self.settings.report_s
+        self.service_estimate_s = settings.lease_s
+        self._demands: dict[str, Demand] = {}  # of jobs that others need, and of those others
 
-    def weigh(self) -> None:
-        """What the jobs of pipelines are asked for by those that need them, however late these came."""
+    def update_demands(self) -> None:
+        """Find out what the jobs of pipelines are asked for by those that need them, however late these came."""
         after = self.job_cache.waiters()
         own: dict[str, Demand] = {}
         length: dict[str, float] = {}
@@ -80,146 +81,216 @@
                 length[name] = self._step_s(job.spec, estimate)
         self._demands = demands(own, length, after)
 
-    def soon(self, now: float, clock: float) -> list[TaskRequest]:
-        """Work that waits for others whose last tasks are running, with the time at which it will be ready."""
-        requests = []
-        after = self.job_cache.waiters()
-        for name in {waiter for waiters in after.values() for waiter in waiters}:
-            job = self.job_cache.get(name)
-            if job is None or not job.blocked or job.cancelled:
-                continue
-            left = 0.0
-            for other in job.dependencies:
-                if other not in after or self.job_cache.final(other) is not None:
-                    continue
-                before = self.job_cache.get(other)
-                if before is None or before.pending or not before.allocations or before.spec.kind == "service":
-                    break
-                estimate = self.estimates.corrected(before.spec)
-                left = max([left, *(estimate - (clock - allocation.at) for allocation in before.allocations)])
-            else:
-                request = self.request(replace(job, blocked=False, ready=clock + left), now, clock)
-                if request is not None:
-                    request.not_before = max(request.not_before, clock + left)
-                    requests.append(request)
-        return requests
-
     def request(self, job: Job, now: float, clock: float, zones: Iterable[str] | None = None) -> TaskRequest | None:
-        """As far as the team's limit allows in these zones, which are ours; None: in all zones together."""
+        """The request for a job's pending tasks; None if none may start now.
+
+        `zones` are those whose shards we hold: the request goes as far as the team's limit allows there. None: in all
+        zones together.
+        """
         pending = job.pending
         if not pending:
             return None
-        if job.spec.kind == "gang" and job.allocations and not self.still_gathers(job, clock):
-            return None  # the attempt before it must be over: a gang starts whole
         spec = job.spec
-        service = spec.kind == "service"
+        gang = spec.kind == "gang"
+        if gang and job.allocations and not self.still_gathers(job, clock):
+            return None  # the attempt before it must be over: a gang starts whole
         is_crash_looping = self.completions.is_crash_looping(job, now)
         if is_crash_looping and job.allocations:
             return None  # it is being tried
-        estimate = self.nominal_s if service else max(self.estimates.corrected(spec), 0.1)
+        estimate = self._estimate_s(spec)
+        waiting = 1 if is_crash_looping and not gang else pending.bit_count()
         used = self.job_cache.used(spec.team)
-        usage = TeamUsage(*used) if zones is None else self.job_cache.team(spec.team, zones)
-        team = self.settings.teams.get(spec.team)
-        waiting = 1 if is_crash_looping and spec.kind != "gang" else pending.bit_count()
-        headroom = waiting
-        within = False
-        freed = self.completions.freed.get(spec.team, (0.0, 0.0))
-        usage = usage.less(freed)
-        if team is not None:
-            if team.cpus_max is not None and spec.cpus > 0:
-                headroom = min(headroom, int((team.cpus_max - usage.cpus + 1e-6) // spec.cpus))
-            if team.gpus_max is not None and spec.gpus > 0:
-                headroom = min(headroom, int((team.gpus_max - usage.gpus + 1e-6) // spec.gpus))
-            within = used[0] - freed[0] + spec.cpus <= team.cpus + 1e-6 and (
-                spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + 1e-6
-            )
-        # the steady clock and the time of day meet here: values are of the time of day
-        demand = self._demands.get(job.id) or self._own_demand(job, estimate)
-        value = value_of(demand, job.since, estimate, within)
-        backoff = self.completions.backoffs.get(job.id)
+        value = value_of(self._demand(job, estimate), job.since, estimate, self._is_within_guarantee(spec, used))
         return TaskRequest(
-            job.id,
-            spec,
-            value,
-            estimate,
-            waiting,
-            job.per_zone(),
-            headroom,
-            None if service else self._reserved_since(job, value, clock),
-            clock + max(0.0, backoff.not_before - now) if backoff else 0.0,
-            largest_share(spec, list(self.types().values())),
-            job.since + self.settings.start_aims.get(spec.job_class, math.inf),
-            spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values()),
-            avoided_machines=self.completions.avoided(job, now) if is_crash_looping else self._know_the_attempt(job),
+            job=job.id,
+            spec=spec,
+            value=value,
+            estimate=estimate,
+            waiting=waiting,
+            tasks_by_zone=job.per_zone(),
+            headroom=self._headroom(spec, waiting, used, zones),
+            reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, clock),
+            not_before=self._backed_off_until(job, now, clock),
+            resource_share=largest_share(spec, list(self.types().values())),
+            start_by=job.since + self.settings.start_aims.get(spec.job_class, math.inf),
+            avoids_gpus=self._can_avoid_gpus(spec),
+            avoided_machines=self._avoided_machines(job, is_crash_looping, now),
         )
 
-    def _know_the_attempt(self, job: Job) -> frozenset[str]:
-        """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
-        if job.spec.kind != "gang" or not job.allocations:
-            return frozenset()
-        keys = {(job.id, index, job.allocations[0].attempt) for index in members(job.pending)}
-        with self.machine_registry.lock:
-            return frozenset(
-                name for name, machine in self.machine_registry.machines.items() if keys & machine.tasks.keys()
-            )
-
-    def _reserved_since(self, job: Job, value: Value, clock: float) -> float | None:
-        """Since when a job keeps a standing reservation, if it does.
+    def requests_soon_ready(self, now: float, clock: float) -> list[TaskRequest]:
+        """Requests for jobs that wait for others whose last tasks are running.
 
-        Past its soft deadline, as the design has it, while it is worth anything; and once it has waited for long and
-        none of it has begun. Guards against small work that comes faster than the machines allow and is worth more per
-        resource at every event: large jobs and long ones waited until they were worth nothing, and then last.
+        Their `not_before` is the time at which they are expected to be ready.
         """
-        unbegun = job.since + self.patience_s
-        if not job.started and clock > unbegun:
-            return min(unbegun, value.soft)
-        return value.soft if is_reserved(value, clock) else None
+        requests = []
+        after = self.job_cache.waiters()
+        for name in {waiter for waiters in after.values() for waiter in waiters}:
+            job = self.job_cache.get(name)
+            if job is None or not job.blocked or job.cancelled:
+                continue
+            ready_in = self._ready_in_s(job, after, clock)
+            if ready_in is None:
+                continue
+            request = self.request(replace(job, blocked=False, ready=clock + ready_in), now, clock)
+            if request is not None:
+                request.not_before = max(request.not_before, clock + ready_in)
+                requests.append(request)
+        return requests
 
-    def moving(
-        self, job: Job, lost: set[str], ours: Callable[[int], int], now: float, clock: float
+    soon = requests_soon_ready  # the name before; for callers that still use it
+
+    def relocation_request(
+        self, job: Job, lost_zones: set[str], our_share: Callable[[int], int], now: float, clock: float
     ) -> TaskRequest | None:
-        """A service's replicas in lost zones, for which room is held elsewhere; `ours`: for how many of so many it is
-        we who hold it."""
-        left = without(job, lost) if job.spec.kind == "service" and not job.cancelled else None
-        request = None if left is None else self.request(left, now, clock)
+        """The request for room elsewhere for a service's replicas in lost zones; None if it has none there.
+
+        `our_share` tells for how many of so many replicas it falls to our shards to hold room.
+        """
+        if job.spec.kind != "service" or job.cancelled:
+            return None
+        remaining = without(job, lost_zones)
+        if remaining is None:
+            return None
+        request = self.request(remaining, now, clock)
         if request is None:
             return None
-        tasks = ours(left.pending.bit_count() - job.pending.bit_count())
-        # where they stand they count for the team's limit already, which has room for them therefore
-        return (
-            replace(request, waiting=tasks, headroom=tasks, not_before=clock + SOON_S, relocating=True)
-            if tasks
-            else None
-        )
+        tasks = our_share(remaining.pending.bit_count() - job.pending.bit_count())
+        if not tasks:
+            return None
+        # where they run they count for the team's limit already, which has room for them therefore
+        not_before = clock + PLACE_HOLDER_DELAY_S
+        return replace(request, waiting=tasks, headroom=tasks, not_before=not_before, relocating=True)
 
-    def owed(self, teams: Iterable[str]) -> dict[str, GuaranteeBalance]:
-        """What these teams have still to get of their guarantees, over all zones."""
-        found = {}
+    def unmet_guarantees(self, teams: Iterable[str]) -> dict[str, GuaranteeBalance]:
+        """What these teams have still to get of their guarantees, over all zones; by team, unless it isn't known."""
+        unmet = {}
         for name in teams:
             team = self.settings.teams.get(name)
             if team is not None:
                 used, freed = self.job_cache.used(name), self.completions.freed.get(name, (0.0, 0.0))
-                found[name] = GuaranteeBalance(team.cpus - used[0] + freed[0], team.gpus - used[1] + freed[1])
-        return found
+                unmet[name] = GuaranteeBalance(team.cpus - used[0] + freed[0], team.gpus - used[1] + freed[1])
+        return unmet
 
     def still_gathers(self, job: Job, clock: float) -> bool:
         """Whether a gang's attempt hasn't begun to run, so that replacements for lost tasks complete it.
 
         All its machines must be ours to know that, and a replacement must have its image while the others wait.
         """
-        fetch = max(
-            (kind.fetch_s(job.spec.image_gb) for kind in self.types().values() if kind.fits(job.spec)), default=0.0
-        )
         held = self.coordinator.held_zones()
+        attempt = job.allocations[0].attempt
         for allocation in job.allocations:
-            if allocation.zone not in held or allocation.attempt != job.allocations[0].attempt:
+            if allocation.zone not in held or allocation.attempt != attempt:
+                return False
+            if not self._hasnt_begun(job, allocation):
                 return False
-            with self.machine_registry.lock:
-                machine = self.machine_registry.machines.get(allocation.machine)
-                if machine is None or machine.session != allocation.session:
+        fetch_s = max(self._fetch_times_s(job.spec), default=0.0)
+        gathers_since = min(allocation.at for allocation in job.allocations)
+        return clock + fetch_s - gathers_since < self.settings.gang_wait_s
+
+    def _hasnt_begun(self, job: Job, allocation: Allocation) -> bool:
+        """Whether an allocation's machine is still in the same session and runs none of its tasks yet."""
+        with self.machine_registry.lock:
+            machine = self.machine_registry.machines.get(allocation.machine)
+            if machine is None or machine.session != allocation.session:
+                return False
+            for index in members(allocation.tasks):
+                task = machine.tasks.get((job.id, index, allocation.attempt))
+                if task is not None and task.state not in ("fetching", "waiting"):
                     return False
-                for index in members(allocation.tasks):
-                    task = machine.tasks.get((job.id, index, allocation.attempt))
-                    if task is not None and task.state not in ("fetching", "waiting"):
-                        return False
-        return clock + fetch - min(allocation.at for allocation in job.allocations) < self.settings.gang_wait_s
+        return True
+
+    def _ready_in_s(self, job: Job, after: dict[str, list[str]], clock: float) -> float | None:
+        """Seconds until all that a blocked job needs is expected to be done; None if some of it isn't running yet."""
+        ready_in = 0.0
+        for name in job.dependencies:
+            if name not in after or self.job_cache.final(name) is not None:
+                continue
+            dependency = self.job_cache.get(name)
+            if dependency is None or dependency.pending or not dependency.allocations:
+                return None
+            if dependency.spec.kind == "service":
+                return None
+            estimate = self.estimates.corrected(dependency.spec)
+            for allocation in dependency.allocations:
+                ready_in = max(ready_in, estimate - (clock - allocation.at))
+        return ready_in
+
+    def _estimate_s(self, spec: JobSpec) -> float:
+        if spec.kind == "service":
+            return self.service_estimate_s
+        return max(self.estimates.corrected(spec), LEAST_ESTIMATE_S)
+
+    def _headroom(self, spec: JobSpec, waiting: int, used: Amounts, zones: Iterable[str] | None) -> int:
+        """How many of the waiting tasks the team's limit allows in these zones."""
+        team = self.settings.teams.get(spec.team)
+        if team is None:
+            return waiting
+        usage = TeamUsage(*used) if zones is None else self.job_cache.team(spec.team, zones)
+        usage = usage.less(self.completions.freed.get(spec.team, (0.0, 0.0)))
+        headroom = waiting
+        if team.cpus_max is not None and spec.cpus > 0:
+            headroom = min(headroom, int((team.cpus_max - usage.cpus + EPSILON) // spec.cpus))
+        if team.gpus_max is not None and spec.gpus > 0:
+            headroom = min(headroom, int((team.gpus_max - usage.gpus + EPSILON) // spec.gpus))
+        return headroom
+
+    def _is_within_guarantee(self, spec: JobSpec, used: Amounts) -> bool:
+        """Whether one more task is within its team's guarantee, over all zones."""
+        team = self.settings.teams.get(spec.team)
+        if team is None:
+            return False
+        freed = self.completions.freed.get(spec.team, (0.0, 0.0))
+        if used[0] - freed[0] + spec.cpus > team.cpus + EPSILON:
+            return False
+        return spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + EPSILON
+
+    def _backed_off_until(self, job: Job, now: float, clock: float) -> float:
+        """The time of day before which a job that fails isn't tried again; 0 for others."""
+        backoff = self.completions.backoffs.get(job.id)
+        return clock + max(0.0, backoff.not_before - now) if backoff else 0.0
+
+    def _can_avoid_gpus(self, spec: JobSpec) -> bool:
+        """Whether a job needs no GPUs and fits a machine type that has none."""
+        return spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values())
+
+    def _avoided_machines(self, job: Job, is_crash_looping: bool, now: float) -> frozenset[str]:
+        return self.completions.avoided(job, now) if is_crash_looping else self._know_the_attempt(job)
+
+    def _know_the_attempt(self, job: Job) -> frozenset[str]:
+        """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
+        if job.spec.kind != "gang" or not job.allocations:
+            return frozenset()
+        keys = {(job.id, index, job.allocations[0].attempt) for index in members(job.pending)}
+        with self.machine_registry.lock:
+            return frozenset(
+                name for name, machine in self.machine_registry.machines.items() if keys & machine.tasks.keys()
+            )
+
+    def _reserved_since(self, job: Job, value: Value, clock: float) -> float | None:
+        """The time of day since which a job keeps a standing reservation; None if it doesn't.
+
+        It does past its soft deadline, while it is worth anything; and once it has waited for long and none of it has
+        begun. Guards against small jobs that come faster than the machines allow and are worth more per resource at
+        every event: large jobs and long ones waited until they were worth nothing, and were then placed last.
+        """
+        reserved_from = job.since + self.reserved_after_s
+        if not job.started and clock > reserved_from:
+            return min(reserved_from, value.soft)
+        return value.soft if is_reserved(value, clock) else None
+
+    def _demand(self, job: Job, estimate: float) -> Demand:
+        return self._demands.get(job.id) or self._own_demand(job, estimate)
+
+    def _own_demand(self, job: Job, estimate: float) -> Demand:
+        return own_demand(job.spec, job.submitted, estimate, self.settings.late_aims.get(job.spec.job_class, 1.0))
+
+    def _step_s(self, spec: JobSpec, estimate: float) -> float:
+        """Seconds that a step of a pipeline takes once it is ready.
+
+        Its image may have to be fetched, and its start is reported and so is its end.
+        """
+        return estimate + min(self._fetch_times_s(spec), default=0.0) + self.settings.report_s
+
+    def _fetch_times_s(self, spec: JobSpec) -> list[float]:
+        """Seconds that the job's image takes to be fetched, on each type of machine that fits it."""
+        return [kind.fetch_s(spec.image_gb) for kind in self.types().values() if kind.fits(spec)]
