--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -1,152 +1,217 @@
-"""What to rent for the waiting work."""
+"""What to rent for the waiting tasks that machines at hand or on their way can't serve in time."""
 
 from __future__ import annotations
 
 import math
+from typing import NamedTuple
 
 from tidebend.autoscaling.capacity import Capacity, Offer, Rental
-from tidebend.scheduling import EPSILON, TaskRequest, need_of, times_fit
+from tidebend.scheduling import Amount, TaskRequest, need_of, times_fit
 
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
 # of the time until tasks must begin at the latest, this share may pass while they wait for others to end: these, too,
 # take longer than estimated, and others come meanwhile
 SPARE = 0.5
+# the shortest run time that is reckoned with when tasks follow one another, in seconds
+LEAST_RUN_S = 0.1
 
 
-def _side_by_side(request: TaskRequest, now: float) -> int:
-    """How many of the waiting tasks must run at a time for the job to make its soft deadline."""
-    if request.service or request.spec.kind == "gang":
-        return request.waiting
-    left = request.value.soft - now
-    turns = max(1, math.floor(left / max(WRONG_BY * request.estimate, 0.1)))
-    return math.ceil(request.waiting / turns)
-
-
-def _zone_for(
-    request: TaskRequest,
-    capacities: list[Capacity],
-    offers: list[Offer],
-    by: float,
-    fitting: set[str],
-    machines: dict[str, int],
-) -> str:
-    """The zone in which a gang's places are to be had: where most of it fits by then and the rest can be rented.
-
-    One holder places a gang, so that its tasks need room in one zone whether the job asks for that or not. Guards
-    against a gang that waits for ever beside room in several zones, and one whose first place was counted in a zone
-    where the cloud has no more.
+def to_rent(
+    requests: list[TaskRequest], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
+) -> list[Rental]:
+    """Machines to rent for the requests, those that cost least for each task, in the order of first need.
+
+    `offers` leaves out what the cloud lately had none of; `now` is the time of day in seconds; `rank` spreads rentals
+    over the zones (fewest first): the machines that each zone has. Requests and capacities are changed: the tasks that
+    find room are counted in the requests' zones, and rented machines are added to the capacities.
     """
-    need = need_of(request.spec)
-    room = {
-        zone: 0
-        for zone in {*(capacity.zone for capacity in capacities), *(offer.zone for offer in offers)}
-        if request.spec.zone in (None, zone)
-    }
-    for capacity in capacities:
-        if (
-            capacity.zone in room
-            and capacity.type.name in fitting
-            and (request.spec.spot or not capacity.spot)
-            and capacity.most_cpus + EPSILON >= need[0]
-        ):
-            room[capacity.zone] += times_fit(capacity.room_by(by), need)
-    price = {zone: min((offer.price for offer in offers if offer.zone == zone), default=math.inf) for zone in room}
+    plan = _RentalPlan(capacities, offers, now, rank)
+    for request in sorted(requests, key=_RequestRank.of):
+        plan.serve(request)
+    return [Rental(offer, machines) for offer, machines in plan.machines.items()]
 
-    def rank(zone: str) -> tuple:
-        missing = max(0, request.waiting - room[zone])
-        return (missing > 0 and price[zone] == math.inf, missing, price[zone], machines.get(zone, 0), zone)
 
-    held = [zone for zone, count in request.tasks_by_zone.items() if count]
-    return held[0] if held else min(room, key=rank, default="")
+class _RequestRank(NamedTuple):
+    """The order in which requests are served: services first, then by value, the earliest deadline, and name."""
 
+    batch: bool
+    negative_value: float
+    soft_deadline: float
+    job: str
 
-def to_rent(
-    requests: list[TaskRequest], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
-) -> list[Rental]:
-    """Machines for the waiting work that those at hand can't serve in time, by cost for each task.
+    @classmethod
+    def of(cls, request: TaskRequest) -> _RequestRank:
+        return cls(not request.service, -request.value.start, request.value.soft, request.job)
 
-    `offers` leaves out what the cloud lately had none of; `rank` spreads rentals over the zones (fewest first).
-    """
-    counts: dict[Offer, int] = {}
-    order = sorted(
-        requests, key=lambda request: (not request.service, -request.value.start, request.value.soft, request.job)
-    )
-    for request in order:
-        need = need_of(request.spec)
-        allowed = [
+
+class _OfferRank(NamedTuple):
+    """Offers for a request compare by cost, then by how few machines the zone has, and how soon they are up."""
+
+    price_per_task: float
+    machines_in_zone: int
+    boot_s: float
+    type: str
+    zone: str
+
+
+class _ZoneRank(NamedTuple):
+    """Zones for a gang compare by whether it can be had there at all, by what has to be rented, and its price."""
+
+    impossible: bool
+    missing: int
+    price: float
+    machines: int
+    zone: str
+
+
+_NO_ZONE = _ZoneRank(True, 0, math.inf, 0, "")
+
+
+class _BestOffer(NamedTuple):
+    """An offer for a request, and how many of the missing tasks fit on one such machine."""
+
+    rank: _OfferRank
+    offer: Offer
+    tasks: int
+
+
+class _RentalPlan:
+    """Promises capacity at hand to requests one after the other, and rents for what is missing."""
+
+    def __init__(self, capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]) -> None:
+        self.machines: dict[Offer, int] = {}  # to rent
+        self._capacities = capacities
+        self._offers = offers
+        self._now = now
+        self._rank = rank
+
+    def serve(self, request: TaskRequest) -> None:
+        """Find room for a request's tasks, on machines at hand as far as these serve it in time."""
+        offers = self._allowed_offers(request)
+        boot_s = min((offer.type.boot_s for offer in offers), default=0.0)
+        ready_in = max(0.0, request.not_before - self._now)
+        if ready_in > boot_s:
+            return  # it waits for others, and a machine would be up before they are done
+        fitting_types = self._fitting_types(request)
+        # what becomes free before the tasks must begin at the latest, or before a new machine could be up
+        by = max(self._slack_s(request), ready_in, 0.0 if request.service else boot_s)
+        capacities, missing = self._capacities, self._missing_tasks(request)
+        if request.gang and not request.spec.spread:
+            zone = self._zone_for_gang(request, offers, by, fitting_types)
+            capacities = [capacity for capacity in capacities if capacity.zone == zone]
+            offers = [offer for offer in offers if offer.zone == zone]
+        missing = _promise(request, capacities, by, fitting_types, missing)
+        self._rent(request, offers, missing)
+
+    def _allowed_offers(self, request: TaskRequest) -> list[Offer]:
+        spec = request.spec
+        return [
             offer
-            for offer in offers
-            if offer.type.fits(request.spec)
-            and (request.spec.spot or not offer.spot)
+            for offer in self._offers
+            if offer.type.fits(spec)
+            and (spec.spot or not offer.spot)
             and offer.zone in offer.type.zones
-            and request.spec.zone in (None, offer.zone)
+            and spec.zone in (None, offer.zone)
             and request.zone_room(offer.zone) > 0
             and not (request.avoids_gpus and offer.type.gpus > 0)
         ]
-        boot_s = min((offer.type.boot_s for offer in allowed), default=0.0)
-        ready_in = max(0.0, request.not_before - now)
-        if ready_in > boot_s:
-            continue  # it waits for others, and a machine would be up before they are done
-        missing = min(_side_by_side(request, now), request.headroom, request.waiting)
-        slack = 0.0
-        if not request.service:
-            slack = max(
-                0.0, min(SPARE * (request.value.soft - now - WRONG_BY * request.estimate), request.start_by - now)
-            )
-        fitting = {
+
+    def _fitting_types(self, request: TaskRequest) -> set[str]:
+        """The types of machines at hand on which the request's tasks may run."""
+        return {
             kind.name
-            for kind in {capacity.type for capacity in capacities}
+            for kind in {capacity.type for capacity in self._capacities}
             if kind.fits(request.spec) and not (request.avoids_gpus and kind.gpus > 0)
         }
-        # what becomes free before the tasks must begin at the latest, or before a new machine could be up
-        by = max(slack, ready_in, boot_s if not request.service else 0.0)
-        only = (
-            _zone_for(request, capacities, allowed, by, fitting, rank)
-            if request.gang and not request.spec.spread
-            else None
-        )
-        for capacity in capacities:
-            if missing <= 0:
-                break
-            if only not in (None, capacity.zone):
-                continue
-            # most machines are promised to others already, and passed over by this comparison alone
-            if capacity.most_cpus + EPSILON < need[0] or capacity.type.name not in fitting:
-                continue
-            if (capacity.spot and not request.spec.spot) or request.spec.zone not in (None, capacity.zone):
-                continue
-            room = capacity.room_by(by)
-            tasks = min(missing, times_fit(room, need), request.zone_room(capacity.zone))
-            if tasks > 0:
-                capacity.take(need, tasks)
-                request.tasks_by_zone[capacity.zone] = request.tasks_by_zone.get(capacity.zone, 0) + tasks
-                missing -= tasks
+
+    def _missing_tasks(self, request: TaskRequest) -> int:
+        """How many of the waiting tasks must run side by side for the job to make its soft deadline."""
+        side_by_side = request.waiting
+        if not request.service and request.spec.kind != "gang":
+            left = request.value.soft - self._now
+            rounds = max(1, math.floor(left / max(WRONG_BY * request.estimate, LEAST_RUN_S)))
+            side_by_side = math.ceil(request.waiting / rounds)
+        return min(side_by_side, request.headroom, request.waiting)
+
+    def _slack_s(self, request: TaskRequest) -> float:
+        """Seconds that a request's tasks may wait for others to end; a service's replicas don't wait."""
+        if request.service:
+            return 0.0
+        until_latest_start = request.value.soft - self._now - WRONG_BY * request.estimate
+        return max(0.0, min(SPARE * until_latest_start, request.start_by - self._now))
+
+    def _zone_for_gang(self, request: TaskRequest, offers: list[Offer], by: float, fitting_types: set[str]) -> str:
+        """The zone in which a gang is placed: where most of it fits by then and the rest can be rented.
+
+        One controller places a gang, so that its tasks need room in one zone whether the job asks for that or not.
+        Guards against a gang that waits for ever beside room in several zones, and one whose first task was counted in
+        a zone where the cloud has no more machines. Empty if there is no zone for it.
+        """
+        occupied = [zone for zone, tasks in request.tasks_by_zone.items() if tasks]
+        if occupied:
+            return occupied[0]
+        room = self._room_by_zone(request, offers, by, fitting_types)
+        return min((self._zone_rank(request, zone, room[zone], offers) for zone in room), default=_NO_ZONE).zone
+
+    def _room_by_zone(
+        self, request: TaskRequest, offers: list[Offer], by: float, fitting_types: set[str]
+    ) -> dict[str, int]:
+        """How many of the request's tasks fit by then on machines at hand, in each zone where it may run."""
+        need = need_of(request.spec)
+        zones = {*(capacity.zone for capacity in self._capacities), *(offer.zone for offer in offers)}
+        room = {zone: 0 for zone in zones if request.spec.zone in (None, zone)}
+        for capacity in self._capacities:
+            if capacity.allowed(request.spec, fitting_types):
+                room[capacity.zone] += times_fit(capacity.room_by(by), need)
+        return room
+
+    def _zone_rank(self, request: TaskRequest, zone: str, room: int, offers: list[Offer]) -> _ZoneRank:
+        missing = max(0, request.waiting - room)
+        price = min((offer.price for offer in offers if offer.zone == zone), default=math.inf)
+        impossible = missing > 0 and price == math.inf
+        return _ZoneRank(impossible, missing, price, self._rank.get(zone, 0), zone)
+
+    def _rent(self, request: TaskRequest, offers: list[Offer], missing: int) -> None:
+        """Rent machines until no task is missing or none can be had."""
+        need = need_of(request.spec)
         while missing > 0:
-            best = None
-            for offer in allowed:
-                if only not in (None, offer.zone):
-                    continue
-                whole = (offer.type.cpus, offer.type.gpus, offer.type.memory_gb)
-                tasks = min(missing, times_fit(whole, need), request.zone_room(offer.zone))
-                if tasks < 1:
-                    continue
-                key = (
-                    offer.price / tasks,
-                    rank.get(offer.zone, 0) + counts.get(offer, 0),
-                    offer.type.boot_s,
-                    offer.type.name,
-                    offer.zone,
-                )
-                if best is None or key < best[0]:
-                    best = (key, offer, tasks, whole)
+            best = self._best_offer(request, offers, need, missing)
             if best is None:
-                break
-            _, offer, tasks, whole = best
-            counts[offer] = counts.get(offer, 0) + 1
-            capacity = Capacity(offer.type, offer.zone, offer.spot, whole, offer.type.boot_s)
+                return
+            _, offer, tasks = best
+            self.machines[offer] = self.machines.get(offer, 0) + 1
+            capacity = Capacity(offer.type, offer.zone, offer.spot, offer.whole, offer.type.boot_s)
+            capacity.take(need, tasks)
+            self._capacities.append(capacity)
+            request.add_to_zone(offer.zone, tasks)
+            missing -= tasks
+
+    def _best_offer(self, request: TaskRequest, offers: list[Offer], need: Amount, missing: int) -> _BestOffer | None:
+        """The offer that costs least for each task that fits; of equals the first. None if no task fits on any."""
+        best: _BestOffer | None = None
+        for offer in offers:
+            tasks = min(missing, times_fit(offer.whole, need), request.zone_room(offer.zone))
+            if tasks < 1:
+                continue
+            machines = self._rank.get(offer.zone, 0) + self.machines.get(offer, 0)
+            rank = _OfferRank(offer.price / tasks, machines, offer.type.boot_s, offer.type.name, offer.zone)
+            if best is None or rank < best.rank:
+                best = _BestOffer(rank, offer, tasks)
+        return best
+
+
+def _promise(request: TaskRequest, capacities: list[Capacity], by: float, fitting_types: set[str], missing: int) -> int:
+    """Promise room on machines at hand, by then, to a request's missing tasks; returns how many are left."""
+    need = need_of(request.spec)
+    for capacity in capacities:
+        if missing <= 0:
+            break
+        if not capacity.allowed(request.spec, fitting_types):
+            continue
+        tasks = min(missing, times_fit(capacity.room_by(by), need), request.zone_room(capacity.zone))
+        if tasks > 0:
             capacity.take(need, tasks)
-            capacities.append(capacity)
-            request.tasks_by_zone[offer.zone] = request.tasks_by_zone.get(offer.zone, 0) + tasks
+            request.add_to_zone(capacity.zone, tasks)
             missing -= tasks
-    return [Rental(offer, machines) for offer, machines in counts.items()]
+    return missing
