--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -90,7 +90,7 @@
         try:
             revision = self.engine.transact({row.key: row.version for row in asked.conditions}, writes, patience)
         except ConditionFailed as failed:
-            return 409, wire.revision_of(failed.revision, failed=failed.keys)
+            return 409, wire.conflict(failed.revision, failed.keys)
         except LeaseEnded:
             return 400, {"error": "no such lease"}
         return 200, wire.revision_of(revision)
--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -1,8 +1,37 @@
-"""The wire's words and the domain's types: this is the only place where the two meet."""
+"""The wire's words and the domain's types: this is the only place where the two meet.
+
+`domain` holds the types. A controller reads and answers messages with `jobs` (users), `reports` (workers), `machines`
+(the cloud) and `state` (the state service). The other sides' readers and writers are `user`, `worker`, `cloud` and
+`store`; those are imported by whoever has that side, and not from here: most of them need `msgspec`, which `run` does
+without.
+"""
 
 from tidebend.protocol.domain import (
+    COMMAND_FORGET,
+    COMMAND_START,
+    COMMAND_STOP,
+    JOB_CANCELLED,
+    JOB_DONE,
+    JOB_QUEUED,
+    JOB_RUNNING,
+    KIND_ARRAY,
+    KIND_GANG,
+    KIND_SERVICE,
+    MACHINE_BOOTING,
+    MACHINE_FAILED,
+    MACHINE_RUNNING,
     MOST_TASKS,
     PRIORITIES,
+    PRIORITY_HIGH,
+    PRIORITY_LOW,
+    PRIORITY_NORMAL,
+    PRIORITY_PRODUCTION,
+    TASK_ENDED,
+    TASK_FETCHING,
+    TASK_RUNNING,
+    TASK_SAVING,
+    TASK_STATES,
+    TASK_WAITING,
     Command,
     JobSpec,
     ListedMachine,
@@ -11,7 +40,7 @@
     TaskReport,
     task_name,
 )
-from tidebend.protocol.fields import Invalid
+from tidebend.protocol.fields import Invalid, InvalidMessageError
 from tidebend.protocol.jobs import (
     ID,
     PATH_JOBS,
@@ -61,7 +90,20 @@
 )
 
 __all__ = [
+    "COMMAND_FORGET",
+    "COMMAND_START",
+    "COMMAND_STOP",
     "ID",
+    "JOB_CANCELLED",
+    "JOB_DONE",
+    "JOB_QUEUED",
+    "JOB_RUNNING",
+    "KIND_ARRAY",
+    "KIND_GANG",
+    "KIND_SERVICE",
+    "MACHINE_BOOTING",
+    "MACHINE_FAILED",
+    "MACHINE_RUNNING",
     "MOST_TASKS",
     "PATH_JOBS",
     "PATH_LEASES",
@@ -73,10 +115,21 @@
     "PATH_TRANSACTION",
     "PATH_TYPES",
     "PRIORITIES",
+    "PRIORITY_HIGH",
+    "PRIORITY_LOW",
+    "PRIORITY_NORMAL",
+    "PRIORITY_PRODUCTION",
     "RANKS",
     "SHAPES",
+    "TASK_ENDED",
+    "TASK_FETCHING",
+    "TASK_RUNNING",
+    "TASK_SAVING",
+    "TASK_STATES",
+    "TASK_WAITING",
     "Command",
     "Invalid",
+    "InvalidMessageError",
     "JobSpec",
     "ListedMachine",
     "MachineType",
@@ -92,8 +145,8 @@
     "lease_path",
     "lease_request",
     "list_path",
-    "parse_dependencies",
     "parse_changes",
+    "parse_dependencies",
     "parse_item",
     "parse_items",
     "parse_job",
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -1,39 +1,85 @@
-"""The domain's types: jobs as asked for, machines and their types, tasks as reported, commands."""
+"""The domain's types: submitted jobs, machines and their types, reported tasks, and commands to workers.
+
+Nothing here knows the wire's words; the other modules of this package translate. Sizes are in GB, durations in
+seconds (fields that end in `_s`).
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-PRIORITIES = ("low", "normal", "high", "production")
+# Kinds of jobs (`JobSpec.kind`). Plain strings, because they are stored in records as they are.
+KIND_ARRAY = "array"  # independent tasks
+KIND_GANG = "gang"  # tasks that run all at once or not at all
+KIND_SERVICE = "service"  # tasks that are kept running until the job is cancelled
+
+# Priorities (`JobSpec.priority`), the least urgent first.
+PRIORITY_LOW = "low"
+PRIORITY_NORMAL = "normal"
+PRIORITY_HIGH = "high"
+PRIORITY_PRODUCTION = "production"
+PRIORITIES = (PRIORITY_LOW, PRIORITY_NORMAL, PRIORITY_HIGH, PRIORITY_PRODUCTION)
+
+# States of a task on a worker (`TaskReport.state`), in the order in which a task passes through them.
+TASK_FETCHING = "fetching"  # its image is being fetched
+TASK_WAITING = "waiting"  # a gang's task that waits for the others
+TASK_RUNNING = "running"
+TASK_SAVING = "saving"  # it was told to stop and writes a checkpoint
+TASK_ENDED = "ended"
+TASK_STATES = (TASK_FETCHING, TASK_WAITING, TASK_RUNNING, TASK_SAVING, TASK_ENDED)
+
+# Operations of a command (`Command.op`).
+COMMAND_START = "start"
+COMMAND_STOP = "stop"
+COMMAND_FORGET = "forget"  # an ended attempt needn't be reported any more
+
+# States of a rented machine (`ListedMachine.state`); the cloud may name others.
+MACHINE_BOOTING = "booting"
+MACHINE_RUNNING = "running"
+MACHINE_FAILED = "failed"
+
+# States of a job as users see them.
+JOB_QUEUED = "queued"
+JOB_RUNNING = "running"
+JOB_DONE = "done"
+JOB_CANCELLED = "cancelled"
+
+# The most tasks that one job may have.
 MOST_TASKS = 100_000
 
+# Amounts are compared with this tolerance, so that rounding doesn't turn down a task that fits exactly.
+AMOUNT_TOLERANCE = 1e-6
+# A fetch rate of 0 would mean a division by zero.
+LEAST_FETCH_GB_PER_S = 1e-6
+
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What a user asked for."""
-
-    job_class: str
-    team: str
-    kind: str  # array, gang, service
-    priority: str
-    tasks: int
-    cpus: float
-    gpus: float
-    memory_gb: float
-    image: str
-    image_gb: float
-    types: tuple[str, ...] | None
-    zone: str | None
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
-    deadline_s: float | None
+    """What a user asked for. The order of the fields is the order of a packed record: append only."""
+
+    job_class: str  # the class of jobs that service objectives name
+    team: str  # whose quota is charged
+    kind: str  # one of KIND_...
+    priority: str  # one of PRIORITIES
+    tasks: int  # how many, 1 to MOST_TASKS
+    cpus: float  # cores for each task
+    gpus: float  # accelerators for each task
+    memory_gb: float  # for each task
+    image: str  # name of the image that every task needs on its machine
+    image_gb: float  # size of the image
+    types: tuple[str, ...] | None  # machine types that it may run on; None: any
+    zone: str | None  # the only zone in which it may run; None: any
+    one_zone: bool  # all tasks in the same zone
+    spread: bool  # tasks on machines of their own, as far as possible
+    spot: bool  # may run on spot machines, which the cloud may take back
+    estimate_s: float  # the user's estimate of a task's run time
+    checkpoint_s: float  # time between two checkpoints of a task
+    save_s: float  # time that a task needs to write a checkpoint when it is stopped
+    deadline_s: float | None  # counted from the submission; None: no deadline
 
     def pack(self) -> list[Any]:
+        """The stored form: the fields in order, flags as 0 or 1. Stored data has this form, so it can't change."""
         return [
             self.job_class,
             self.team,
@@ -58,7 +104,8 @@
 
     @staticmethod
     def unpack(row: list[Any]) -> JobSpec:
-        return JobSpec(
+        """The inverse of `pack`. Raises IndexError or TypeError for a row of another length."""
+        fields = [
             *row[:10],
             tuple(row[10]) if row[10] is not None else None,
             row[11],
@@ -66,30 +113,35 @@
             bool(row[13]),
             bool(row[14]),
             *row[15:],
-        )
+        ]
+        return JobSpec(*fields)
 
 
 @dataclass(frozen=True, slots=True)
 class MachineType:
+    """A type of machine that the cloud rents out."""
+
     name: str
-    cpus: float
-    gpus: float
+    cpus: float  # cores
+    gpus: float  # accelerators
     memory_gb: float
-    cache_gb: float
-    fetch_gb_per_s: float
-    price: float
-    spot_price: float
-    boot_s: float
-    zones: tuple[str, ...]
+    cache_gb: float  # local disk for images
+    fetch_gb_per_s: float  # rate at which images are fetched
+    price: float  # for an hour, on demand
+    spot_price: float  # for an hour, as a spot machine
+    boot_s: float  # from the rental until it runs
+    zones: tuple[str, ...]  # where it can be had
 
     def fetch_s(self, image_gb: float) -> float:
-        return image_gb / max(self.fetch_gb_per_s, 1e-6)
+        """Seconds that it takes to fetch an image of this size."""
+        return image_gb / max(self.fetch_gb_per_s, LEAST_FETCH_GB_PER_S)
 
     def fits(self, spec: JobSpec) -> bool:
+        """Whether an empty machine of this type could run a task of the job, in one of the type's zones."""
         return (
-            spec.cpus <= self.cpus + 1e-6
-            and spec.gpus <= self.gpus + 1e-6
-            and spec.memory_gb <= self.memory_gb + 1e-6
+            spec.cpus <= self.cpus + AMOUNT_TOLERANCE
+            and spec.gpus <= self.gpus + AMOUNT_TOLERANCE
+            and spec.memory_gb <= self.memory_gb + AMOUNT_TOLERANCE
             and (spec.types is None or self.name in spec.types)
             and (spec.zone is None or spec.zone in self.zones)
         )
@@ -97,49 +149,56 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskReport:
+    """One attempt of a task, as a worker reports it."""
+
     job: str
-    index: int
-    attempt: int
-    state: str
-    why: str | None
-    saved: bool
+    index: int  # of the task within its job, from 0
+    attempt: int  # grows with each start of the task
+    state: str  # one of TASK_STATES
+    why: str | None  # once it has ended: why
+    saved: bool  # whether it has written a checkpoint
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
     """A worker's report, or its answer to direct commands."""
 
-    machine: str
-    address: tuple[str, int] | None
-    type: str
+    machine: str  # name of the worker's machine
+    address: tuple[str, int] | None  # at which it takes direct commands
+    type: str  # name of the machine's type
     zone: str
     spot: bool
-    session: int
-    sequence: int
-    token: int
-    notice_s: float | None
+    session: int  # new each time the worker starts anew
+    sequence: int  # number of the report within the session
+    token: int  # the fencing token of the last controller that the worker has obeyed
+    notice_s: float | None  # seconds until the cloud takes the machine back; None: not announced
     tasks: tuple[TaskReport, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    op: str  # start, stop, forget
+    """What a controller tells a worker to do with one attempt of a task."""
+
+    op: str  # one of COMMAND_...
     job: str
     index: int
     attempt: int
-    grace_s: float = 0.0
+    grace_s: float = 0.0  # of a stop: seconds that the task has to end by itself
 
 
 @dataclass(frozen=True, slots=True)
 class ListedMachine:
+    """A rented machine, as the cloud lists it."""
+
     name: str
     address: tuple[str, int] | None
-    type: str
+    type: str  # name of the machine's type
     zone: str
     spot: bool
-    state: str  # booting, running, failed
-    age_s: float
+    state: str  # one of MACHINE_..., or a word of the cloud's own
+    age_s: float  # since it was rented
 
 
 def task_name(job: str, index: int) -> str:
+    """How a task is named in messages and logs."""
     return f"{job}/{index}"
--- a/tidebend/protocol/jobs.py
+++ b/tidebend/protocol/jobs.py
@@ -5,77 +5,126 @@
 import re
 from typing import Any
 
-from tidebend.protocol.domain import MOST_TASKS, JobSpec
-from tidebend.protocol.fields import Invalid, choice, count, flag, number, text
+from tidebend.protocol.domain import (
+    JOB_CANCELLED,
+    KIND_ARRAY,
+    KIND_GANG,
+    KIND_SERVICE,
+    MOST_TASKS,
+    PRIORITY_HIGH,
+    PRIORITY_LOW,
+    PRIORITY_NORMAL,
+    PRIORITY_PRODUCTION,
+    JobSpec,
+)
+from tidebend.protocol.fields import (
+    InvalidMessageError,
+    boolean_field,
+    choice_field,
+    integer_field,
+    number_field,
+    text_field,
+)
+
+# The wire's words for kinds of jobs and priorities, and the domain's.
+SHAPES = {"sweep": KIND_ARRAY, "group": KIND_GANG, "service": KIND_SERVICE}
+RANKS = {
+    "critical": PRIORITY_PRODUCTION,
+    "urgent": PRIORITY_HIGH,
+    "standard": PRIORITY_NORMAL,
+    "best_effort": PRIORITY_LOW,
+}
+# The wire's words for states of a job, where they differ from the domain's.
+WIRE_JOB_STATES = {JOB_CANCELLED: "withdrawn"}
 
-SHAPES = {"sweep": "array", "group": "gang", "service": "service"}
-RANKS = {"critical": "production", "urgent": "high", "standard": "normal", "best_effort": "low"}
 ID = re.compile(r"req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
 PATH_JOBS = "/api/jobs"
 PATH_READY = "/ready"
 
+MOST_TYPES = 100
+MOST_TYPE_LENGTH = 100
+MOST_ZONE_LENGTH = 200
+
+
+def is_job_id(name: str) -> bool:
+    """Whether this has the form of a job's id."""
+    return bool(ID.match(name))
+
 
 def job_id(body: Any) -> str:
+    """The id in a submission. Raises InvalidMessageError."""
     if not isinstance(body, dict):
-        raise Invalid("the body must be an object")
+        raise InvalidMessageError("the body must be an object")
     name = body.get("id")
-    if not isinstance(name, str) or not ID.match(name):
-        raise Invalid("id is not a job id")
+    if not isinstance(name, str) or not is_job_id(name):
+        raise InvalidMessageError("id is not a job id")
     return name
 
 
-def is_job_id(name: str) -> bool:
-    return bool(ID.match(name))
+def _is_type_list(types: Any) -> bool:
+    return (
+        isinstance(types, list)
+        and 0 < len(types) <= MOST_TYPES
+        and all(isinstance(name, str) and 0 < len(name) <= MOST_TYPE_LENGTH for name in types)
+    )
 
 
-def parse_job(body: dict[str, Any]) -> JobSpec:
+def _types(body: dict[str, Any]) -> tuple[str, ...] | None:
     types = body.get("hulls")
-    if types is not None and (
-        not isinstance(types, list)
-        or not types
-        or len(types) > 100
-        or any(not isinstance(name, str) or not 0 < len(name) <= 100 for name in types)
-    ):
-        raise Invalid("hulls must be null or a list of machine types")
+    if types is None:
+        return None
+    if not _is_type_list(types):
+        raise InvalidMessageError("hulls must be null or a list of machine types")
+    return tuple(types)
+
+
+def _zone(body: dict[str, Any]) -> str | None:
     zone = body.get("harbor")
-    if zone is not None and (not isinstance(zone, str) or not zone or len(zone) > 200):
-        raise Invalid("harbor must be null or a zone")
-    deadline = body.get("dueS")
+    if zone is not None and (not isinstance(zone, str) or not zone or len(zone) > MOST_ZONE_LENGTH):
+        raise InvalidMessageError("harbor must be null or a zone")
+    return zone
+
+
+def parse_job(body: dict[str, Any]) -> JobSpec:
+    """The job in a submission. Raises InvalidMessageError, which names the first field that is wrong."""
+    types = _types(body)
+    zone = _zone(body)
     return JobSpec(
-        job_class=text(body, "tier"),
-        team=text(body, "crew"),
-        kind=choice(body, "shape", SHAPES),
-        priority=choice(body, "rank", RANKS),
-        tasks=count(body, "pieces", 1, MOST_TASKS),
-        cpus=number(body, "vcpus"),
-        gpus=number(body, "accelerators"),
-        memory_gb=number(body, "memoryGb"),
-        image=text(body, "cargo"),
-        image_gb=number(body, "sizeGb"),
-        types=tuple(types) if types is not None else None,
+        job_class=text_field(body, "tier"),
+        team=text_field(body, "crew"),
+        kind=choice_field(body, "shape", SHAPES),
+        priority=choice_field(body, "rank", RANKS),
+        tasks=integer_field(body, "pieces", 1, MOST_TASKS),
+        cpus=number_field(body, "vcpus"),
+        gpus=number_field(body, "accelerators"),
+        memory_gb=number_field(body, "memoryGb"),
+        image=text_field(body, "cargo"),
+        image_gb=number_field(body, "sizeGb"),
+        types=types,
         zone=zone,
-        one_zone=flag(body, "samePlace"),
-        spread=flag(body, "spread"),
-        spot=flag(body, "driftwood"),
-        estimate_s=number(body, "reckonS"),
-        checkpoint_s=number(body, "markS"),
-        save_s=number(body, "stowS"),
-        deadline_s=None if deadline is None else number(body, "dueS"),
+        one_zone=boolean_field(body, "samePlace"),
+        spread=boolean_field(body, "spread"),
+        spot=boolean_field(body, "driftwood"),
+        estimate_s=number_field(body, "reckonS"),
+        checkpoint_s=number_field(body, "markS"),
+        save_s=number_field(body, "stowS"),
+        deadline_s=None if body.get("dueS") is None else number_field(body, "dueS"),
     )
 
 
 def parse_dependencies(body: dict[str, Any]) -> tuple[str, ...]:
-    """The jobs that have to be done before any task of this one starts."""
+    """The jobs that have to be done before any task of this one starts, each once. Raises InvalidMessageError."""
     rows = body.get("awaits")
     if rows is None:
         return ()
-    if not isinstance(rows, list) or any(not isinstance(row, str) or not ID.match(row) for row in rows):
-        raise Invalid("awaits must be a list of job ids")
+    if not isinstance(rows, list) or any(not isinstance(row, str) or not is_job_id(row) for row in rows):
+        raise InvalidMessageError("awaits must be a list of job ids")
     return tuple(dict.fromkeys(rows))
 
 
 def job_answer(name: str, state: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    answer: dict[str, Any] = {"id": name, "tide": "withdrawn" if state == "cancelled" else state}
+    """The answer that tells a job's state, and, where `done` is given, how many of its tasks are done and running."""
+    answer: dict[str, Any] = {"id": name, "tide": WIRE_JOB_STATES.get(state, state)}
     if done is not None:
         answer["done"] = done
         answer["running"] = running or 0
--- a/tidebend/protocol/machines.py
+++ b/tidebend/protocol/machines.py
@@ -1,79 +1,95 @@
-"""Requests to the cloud and what it answers."""
+"""A controller's requests to the cloud, and what it reads in the answers."""
 
 from __future__ import annotations
 
 from typing import Any
 from urllib.parse import quote
 
-from tidebend.protocol.domain import ListedMachine, MachineType
-from tidebend.protocol.fields import Invalid, address, number, text
+from tidebend.protocol.domain import MACHINE_BOOTING, ListedMachine, MachineType
+from tidebend.protocol.fields import InvalidMessageError, number_field, parse_address, text_field
 
 PATH_TYPES = "/flavors"
 PATH_RENT = "/machines"
 PATH_RELEASE = "/machines/release"
 
+# The wire's words for states of a machine, where they differ from the domain's.
+WIRE_MACHINE_STATES = {MACHINE_BOOTING: "starting"}
+_MACHINE_STATES = {theirs: ours for ours, theirs in WIRE_MACHINE_STATES.items()}
+
+
+def _machine_type(row: dict[str, Any]) -> MachineType:
+    name = text_field(row, "name")
+    price = number_field(row, "price")
+    return MachineType(
+        name=name,
+        cpus=number_field(row, "vcpus"),
+        gpus=number_field(row, "accelerators", default=0.0),
+        memory_gb=number_field(row, "memoryGb"),
+        cache_gb=number_field(row, "localGb", default=0.0),
+        fetch_gb_per_s=number_field(row, "fetchGbPerS", default=1.0),
+        price=price,
+        spot_price=number_field(row, "spotPrice", default=price),
+        boot_s=number_field(row, "startupS", default=0.0),
+        zones=tuple(str(zone) for zone in row.get("harbors") or []),
+    )
+
 
 def parse_types(body: Any) -> dict[str, MachineType]:
+    """The types of machines that the cloud rents out, by name. Raises InvalidMessageError."""
     if not isinstance(body, dict) or not isinstance(body.get("hulls"), list):
-        raise Invalid("hulls is missing")
+        raise InvalidMessageError("hulls is missing")
     types = {}
     for row in body["hulls"]:
         if not isinstance(row, dict) or not isinstance(row.get("harbors") or [], list):
-            raise Invalid("hulls must hold objects")
-        name = text(row, "name")
-        price = number(row, "price")
-        types[name] = MachineType(
-            name,
-            number(row, "vcpus"),
-            number(row, "accelerators", default=0.0),
-            number(row, "memoryGb"),
-            number(row, "localGb", default=0.0),
-            number(row, "fetchGbPerS", default=1.0),
-            price,
-            number(row, "spotPrice", default=price),
-            number(row, "startupS", default=0.0),
-            tuple(str(zone) for zone in row.get("harbors") or []),
-        )
+            raise InvalidMessageError("hulls must hold objects")
+        machine_type = _machine_type(row)
+        types[machine_type.name] = machine_type
     return types
 
 
 def rent(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """The body that rents `count` machines. `name` makes it idempotent: the cloud executes each name once."""
     return {"charter": name, "hull": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
 
 
 def release(names: list[str]) -> dict[str, Any]:
+    """The body that gives machines back."""
     return {"fleet": names}
 
 
-def parse_rented(body: Any) -> list[str]:
+def _rows(body: Any) -> list[Any]:
     rows = body.get("fleet") if isinstance(body, dict) else None
     if not isinstance(rows, list):
-        raise Invalid("fleet is missing")
-    return [name for name in rows if isinstance(name, str)]
+        raise InvalidMessageError("fleet is missing")
+    return rows
+
+
+def parse_rented(body: Any) -> list[str]:
+    """The names of the machines that were rented. Raises InvalidMessageError."""
+    return [name for name in _rows(body) if isinstance(name, str)]
 
 
 def list_path(after: str, limit: int) -> str:
+    """The path of a page of the list of machines: at most `limit` of them, from after a name on."""
     return f"/machines?from={quote(after)}&page={limit}"
 
 
+def _listed_machine(row: Any) -> ListedMachine:
+    if not isinstance(row, dict):
+        raise InvalidMessageError("fleet must hold objects")
+    wire_state: Any = row.get("tide")
+    state = _MACHINE_STATES.get(wire_state, wire_state)
+    return ListedMachine(
+        name=text_field(row, "id"),
+        address=parse_address(row.get("address")),
+        type=text_field(row, "hull"),
+        zone=text_field(row, "harbor"),
+        spot=row.get("driftwood") is True,
+        state=str(state),
+        age_s=number_field(row, "heldS", default=0.0),
+    )
+
+
 def parse_listed(body: Any) -> tuple[list[ListedMachine], bool]:
-    rows = body.get("fleet") if isinstance(body, dict) else None
-    if not isinstance(rows, list):
-        raise Invalid("fleet is missing")
-    listed = []
-    for row in rows:
-        if not isinstance(row, dict):
-            raise Invalid("fleet must hold objects")
-        state = {"starting": "booting"}.get(row.get("tide"), row.get("tide"))
-        listed.append(
-            ListedMachine(
-                text(row, "id"),
-                address(row.get("address")),
-                text(row, "hull"),
-                text(row, "harbor"),
-                row.get("driftwood") is True,
-                str(state),
-                number(row, "heldS", default=0.0),
-            )
-        )
-    return listed, body.get("more") is True
+    """The machines of a page of the list, and whether there are more after it. Raises InvalidMessageError."""
+    return [_listed_machine(row) for row in _rows(body)], body.get("more") is True
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -5,82 +5,114 @@
 import re
 from typing import Any
 
-from tidebend.protocol.domain import Command, Report, TaskReport, task_name
-from tidebend.protocol.fields import Invalid, address, count, number, text
-from tidebend.protocol.jobs import ID
+from tidebend.protocol.domain import (
+    COMMAND_FORGET,
+    COMMAND_START,
+    COMMAND_STOP,
+    TASK_STATES,
+    Command,
+    Report,
+    TaskReport,
+    task_name,
+)
+from tidebend.protocol.fields import (
+    InvalidMessageError,
+    counter_field,
+    number_field,
+    parse_address,
+    text_field,
+)
+from tidebend.protocol.jobs import is_job_id
 
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
-TASK_STATES = ("fetching", "waiting", "running", "saving", "ended")
+MACHINE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
 PATH_REPORT = "/v1/report"
 PATH_SHOW = "/show"
+PATH_DIRECT = "/orders"
 
+# The domain's operations of a command, and the wire's words for them.
+WIRE_OPERATIONS = {COMMAND_START: "start", COMMAND_STOP: "kill", COMMAND_FORGET: "clear"}
 
-def parse_report(body: Any) -> Report:
-    if not isinstance(body, dict):
-        raise Invalid("the body must be an object")
-    top = 2**64 - 1
+# A notice may lie in the past: the cloud was to take the machine back before the report came.
+LEAST_NOTICE_S = -1e9
+
+
+def _task(row: Any) -> TaskReport:
+    if not isinstance(row, dict):
+        raise InvalidMessageError("pieces must hold objects")
+    job, _, index = text_field(row, "piece").rpartition("/")
+    if not is_job_id(job) or not index.isascii() or not index.isdigit():
+        raise InvalidMessageError("piece is not a task")
+    state = row.get("tide")
+    if state not in TASK_STATES:
+        raise InvalidMessageError("tide is not a task state")
+    why = row.get("cause")
+    return TaskReport(
+        job=job,
+        index=int(index),
+        attempt=counter_field(row, "launch"),
+        state=state,
+        why=why if isinstance(why, str) else None,
+        saved=row.get("stored") is True,
+    )
+
+
+def _tasks(body: dict[str, Any]) -> tuple[TaskReport, ...]:
     rows = body.get("pieces") or []
     if not isinstance(rows, list):
-        raise Invalid("pieces must be a list")
-    tasks = []
-    for row in rows:
-        if not isinstance(row, dict):
-            raise Invalid("pieces must hold objects")
-        job, _, index = text(row, "piece").rpartition("/")
-        if not ID.match(job) or not index.isascii() or not index.isdigit():
-            raise Invalid("piece is not a task")
-        state = row.get("tide")
-        if state not in TASK_STATES:
-            raise Invalid("tide is not a task state")
-        why = row.get("cause")
-        tasks.append(
-            TaskReport(
-                job,
-                int(index),
-                count(row, "launch", 0, top),
-                state,
-                why if isinstance(why, str) else None,
-                row.get("stored") is True,
-            )
-        )
+        raise InvalidMessageError("pieces must be a list")
+    tasks = tuple(_task(row) for row in rows)
     if len({(task.job, task.index, task.attempt) for task in tasks}) < len(tasks):
-        raise Invalid("pieces names a task's attempt twice")
+        raise InvalidMessageError("pieces names a task's attempt twice")
+    return tasks
+
+
+def parse_report(body: Any) -> Report:
+    """A worker's report. Raises InvalidMessageError, which names the first field that is wrong."""
+    if not isinstance(body, dict):
+        raise InvalidMessageError("the body must be an object")
+    tasks = _tasks(body)
     notice = body.get("warningS")
-    machine = text(body, "vessel")
-    if not NAME.match(machine):
-        raise Invalid("vessel is not a machine's name")
+    machine = text_field(body, "vessel")
+    if not MACHINE_NAME.match(machine):
+        raise InvalidMessageError("vessel is not a machine's name")
     return Report(
-        machine,
-        address(body.get("address")),
-        text(body, "hull"),
-        text(body, "harbor"),
-        body.get("driftwood") is True,
-        count(body, "watch", 0, top),
-        count(body, "tally", 0, top),
-        count(body, "helm", 0, top),
-        None if notice is None else number(body, "warningS", -1e9),
-        tuple(tasks),
+        machine=machine,
+        address=parse_address(body.get("address")),
+        type=text_field(body, "hull"),
+        zone=text_field(body, "harbor"),
+        spot=body.get("driftwood") is True,
+        session=counter_field(body, "watch"),
+        sequence=counter_field(body, "tally"),
+        token=counter_field(body, "helm"),
+        notice_s=None if notice is None else number_field(body, "warningS", LEAST_NOTICE_S),
+        tasks=tasks,
     )
 
 
 def _command(command: Command) -> dict[str, Any]:
     row: dict[str, Any] = {
-        "order": {"start": "start", "stop": "kill", "forget": "clear"}[command.op],
+        "order": WIRE_OPERATIONS[command.op],
         "piece": task_name(command.job, command.index),
         "launch": command.attempt,
     }
-    if command.op == "stop":
+    if command.op == COMMAND_STOP:
         row["slackS"] = command.grace_s
     return row
 
 
 def report_answer(token: int, commands: list[Command]) -> dict[str, Any]:
+    """The answer to a report from the machine's own controller: its fencing token, and commands."""
     return {"helm": token, "orders": [_command(command) for command in commands]}
 
 
 def report_elsewhere(controller: str | None) -> dict[str, Any]:
+    """The answer to a report that belongs to another controller; None where that one isn't known."""
     return {"harbormaster": controller} if controller else {}
 
 
 def direct_commands(token: int, session: int, commands: list[Command]) -> tuple[str, dict[str, Any]]:
-    return "/orders", {"helm": token, "watch": session, "orders": [_command(command) for command in commands]}
+    """Path and body of commands that a worker is sent without waiting for its next report.
+
+    A worker refuses those with a lower fencing token than it has seen, or for another session than its own.
+    """
+    return PATH_DIRECT, {"helm": token, "watch": session, "orders": [_command(command) for command in commands]}
--- a/tidebend/protocol/state.py
+++ b/tidebend/protocol/state.py
@@ -1,84 +1,112 @@
-"""Requests to the state service and what it answers."""
+"""A client's requests to the state service, and what it reads in the answers."""
 
 from __future__ import annotations
 
 from typing import Any
 from urllib.parse import quote
 
-from tidebend.protocol.fields import Invalid, count, text
+from tidebend.protocol.fields import InvalidMessageError, integer_field, text_field
 
-# The state service. A write is (key, value, lease); a value of None deletes, a lease of None attaches to none.
+# A write is (key, value, lease); a value of None deletes, a lease of None attaches to none.
 Write = tuple[str, Any, int | None]
 
+PATH_ITEMS = "/kv"
+PATH_ITEM = PATH_ITEMS + "/"
+PATH_CHANGES = "/changes"
+PATH_TRANSACTION = "/multi"
+PATH_LEASES = "/grants"
+
+GREATEST_REVISION = 2**64
+
 
 def key_path(key: str) -> str:
-    return f"/kv/{quote(key)}"
+    """The path of one item."""
+    return f"{PATH_ITEM}{quote(key)}"
 
 
 def range_path(prefix: str, after: str | None, limit: int) -> str:
+    """The path of a page of the items under a prefix: at most `limit` of them, from after a key on."""
     more = f"&from={quote(after)}" if after else ""
-    return f"/kv?under={quote(prefix)}{more}&page={limit}"
+    return f"{PATH_ITEMS}?under={quote(prefix)}{more}&page={limit}"
 
 
 def changes_path(prefix: str, revision: int, wait_ms: int) -> str:
-    return f"/changes?under={quote(prefix)}&from={revision}&waitMs={wait_ms}"
+    """The path of the changes under a prefix after a revision, for which the service waits up to `wait_ms`."""
+    return f"{PATH_CHANGES}?under={quote(prefix)}&from={revision}&waitMs={wait_ms}"
 
 
-PATH_TRANSACTION = "/multi"
-PATH_LEASES = "/grants"
+def lease_path(lease: int, action: str = "") -> str:
+    """The path of a lease; `action` is empty or begins with a slash."""
+    return f"{PATH_LEASES}/{lease}{action}"
 
 
-def lease_path(lease: int, action: str = "") -> str:
-    return f"/grants/{lease}{action}"
+def _write(write: Write) -> dict[str, Any]:
+    key, value, lease = write
+    if value is None:
+        return {"delete": key}
+    if lease is None:
+        return {"put": key, "v": value}
+    return {"put": key, "v": value, "mooring": lease}
 
 
 def transaction(conditions: dict[str, int], writes: list[Write]) -> dict[str, Any]:
-    rows: list[dict[str, Any]] = []
-    for key, value, lease in writes:
-        if value is None:
-            rows.append({"delete": key})
-        elif lease is None:
-            rows.append({"put": key, "v": value})
-        else:
-            rows.append({"put": key, "v": value, "mooring": lease})
-    return {"if": [{"k": key, "stamp": version} for key, version in conditions.items()], "writes": rows}
+    """The body of a transaction: executed as a whole if each key has its version still (0: isn't there)."""
+    return {
+        "if": [{"k": key, "stamp": version} for key, version in conditions.items()],
+        "writes": [_write(write) for write in writes],
+    }
 
 
 def lease_request(seconds: float) -> dict[str, Any]:
+    """The body that asks for a lease."""
     return {"lifeMs": int(seconds * 1000)}
 
 
+def _number(body: Any, key: str) -> int:
+    return integer_field(body if isinstance(body, dict) else {}, key, 0, GREATEST_REVISION)
+
+
 def parse_lease(body: Any) -> int:
-    return count(body if isinstance(body, dict) else {}, "mooring", 0, 2**64)
+    """The number of the lease that was granted. Raises InvalidMessageError."""
+    return _number(body, "mooring")
 
 
 def parse_revision(body: Any) -> int:
-    return count(body if isinstance(body, dict) else {}, "logline", 0, 2**64)
+    """The revision that an answer was given at. Raises InvalidMessageError."""
+    return _number(body, "logline")
 
 
 def parse_item(body: Any) -> tuple[Any, int]:
+    """An item's value and version. Raises InvalidMessageError."""
     if not isinstance(body, dict):
-        raise Invalid("not an item")
-    return body.get("v"), count(body, "stamp", 0, 2**64)
+        raise InvalidMessageError("not an item")
+    return body.get("v"), _number(body, "stamp")
 
 
 def parse_items(body: Any) -> tuple[list[tuple[str, Any, int]], bool, int]:
+    """A page of items as (key, value, version), whether there are more, and the revision.
+
+    Raises InvalidMessageError.
+    """
     if not isinstance(body, dict) or not isinstance(body.get("rows"), list):
-        raise Invalid("rows is missing")
-    rows = [(text(row, "k"), row.get("v"), count(row, "stamp", 0, 2**64)) for row in body["rows"]]
+        raise InvalidMessageError("rows is missing")
+    rows = [(text_field(row, "k"), row.get("v"), _number(row, "stamp")) for row in body["rows"]]
     return rows, body.get("more") is True, parse_revision(body)
 
 
 def parse_changes(body: Any) -> tuple[list[tuple[str, Any, int]], int]:
-    """Changes as (key, value, version); a value of None is a deletion."""
+    """Changes as (key, value, version), where a value of None is a deletion, and the revision.
+
+    Raises InvalidMessageError, or AttributeError or TypeError where the rows aren't objects at all.
+    """
     revision = parse_revision(body)
-    rows = []
+    rows: list[tuple[str, Any, int]] = []
     for row in body.get("log") or []:
-        version = count(row, "stamp", 0, 2**64)
+        version = integer_field(row, "stamp", 0, GREATEST_REVISION)
         if "put" in row:
             rows.append((row["put"], row.get("v"), version))
         elif "delete" in row:
             rows.append((row["delete"], None, version))
         else:
-            raise Invalid("log holds an unknown change")
+            raise InvalidMessageError("log holds an unknown change")
     return rows, revision
--- a/tidebend/protocol/user.py
+++ b/tidebend/protocol/user.py
@@ -4,12 +4,14 @@
 
 from typing import Any
 
-from tidebend.protocol import PATH_JOBS, RANKS, SHAPES, JobSpec
+from tidebend.protocol.domain import JOB_CANCELLED, JOB_DONE, JobSpec
+from tidebend.protocol.jobs import PATH_JOBS, RANKS, SHAPES, WIRE_JOB_STATES
 
 __all__ = ["PATH_JOBS", "ended", "job", "state"]
 
 _SHAPES = {ours: theirs for theirs, ours in SHAPES.items()}
 _RANKS = {ours: theirs for theirs, ours in RANKS.items()}
+_JOB_STATES = {theirs: ours for ours, theirs in WIRE_JOB_STATES.items()}
 
 
 def job(name: str, spec: JobSpec, awaits: tuple[str, ...] = ()) -> dict[str, Any]:
@@ -42,10 +44,11 @@
 
 
 def state(body: dict[str, Any]) -> str:
-    """queued, running, done or cancelled."""
+    """The job's state in an answer: queued, running, done or cancelled."""
     word = str(body.get("tide"))
-    return "cancelled" if word == "withdrawn" else word
+    return _JOB_STATES.get(word, word)
 
 
 def ended(name: str) -> bool:
-    return name in ("done", "cancelled")
+    """Whether a job in this state stays in it."""
+    return name in (JOB_DONE, JOB_CANCELLED)
--- a/tidebend/protocol/worker.py
+++ b/tidebend/protocol/worker.py
@@ -9,9 +9,10 @@
 
 import msgspec
 
-from tidebend.protocol import PATH_REPORT, PATH_SHOW, Command
+from tidebend.protocol.domain import Command, task_name
+from tidebend.protocol.reports import PATH_DIRECT, PATH_REPORT, PATH_SHOW, WIRE_OPERATIONS
 
-PATH_DIRECT = "/orders"
+# The status of an answer that names another controller.
 ELSEWHERE = 421
 
 __all__ = [
@@ -31,6 +32,9 @@
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
+_OPERATIONS = {theirs: ours for ours, theirs in WIRE_OPERATIONS.items()}
+
+
 class _Order(msgspec.Struct, frozen=True):
     op: Literal["start", "kill", "clear"] = msgspec.field(name="order")
     task: Annotated[str, msgspec.Meta(pattern=r"^req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}/[0-9]{1,6}$")] = msgspec.field(
@@ -41,8 +45,7 @@
 
     def command(self) -> Command:
         job, _, index = self.task.rpartition("/")
-        op = {"start": "start", "kill": "stop", "clear": "forget"}[self.op]
-        return Command(op, job, int(index), self.attempt, self.grace_s)
+        return Command(_OPERATIONS[self.op], job, int(index), self.attempt, self.grace_s)
 
 
 class _Answer(msgspec.Struct, frozen=True):
@@ -63,18 +66,20 @@
 class Answer(msgspec.Struct, frozen=True):
     """What a report is answered with; without a token it has to be dropped."""
 
-    token: int | None
+    token: int | None  # the controller's fencing token
     commands: list[Command]
 
 
 class Direct(msgspec.Struct, frozen=True):
-    token: int
-    session: int
+    """Commands that a controller sends without waiting for a report."""
+
+    token: int  # the controller's fencing token
+    session: int  # the worker's session that they are for
     commands: list[Command]
 
 
 class Task(msgspec.Struct, frozen=True):
-    """A task as a report shows it; `why` is there once it has ended."""
+    """An attempt of a task as a report shows it; the fields are those of `TaskReport`."""
 
     job: str
     index: int
@@ -84,7 +89,8 @@
     saved: bool = False
 
     def row(self) -> dict[str, Any]:
-        row: dict[str, Any] = {"piece": f"{self.job}/{self.index}", "launch": self.attempt, "tide": self.state}
+        """The task in a report's body."""
+        row: dict[str, Any] = {"piece": task_name(self.job, self.index), "launch": self.attempt, "tide": self.state}
         if self.why is not None:
             row["cause"] = self.why
         if self.saved:
@@ -93,13 +99,13 @@
 
 
 def parse_answer(body: Any) -> Answer:
-    """Raises msgspec.ValidationError, which names the field."""
+    """The answer to a report. Raises msgspec.ValidationError, which names the field."""
     answer = msgspec.convert(body, _Answer, strict=False)
     return Answer(answer.token, [order.command() for order in answer.orders])
 
 
 def parse_direct(body: Any) -> Direct:
-    """Raises msgspec.ValidationError, which names the field."""
+    """Direct commands. Raises msgspec.ValidationError, which names the field."""
     direct = msgspec.convert(body, _Direct, strict=False)
     return Direct(direct.token, direct.session, [order.command() for order in direct.orders])
 
@@ -124,6 +130,7 @@
     notice_s: float | None,
     tasks: list[Task],
 ) -> dict[str, Any]:
+    """The body of a report; the arguments are the fields of `Report`, with `address` as `HOST:PORT`."""
     return {
         "vessel": machine,
         "address": address,
