--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -70,7 +70,11 @@
 
     def begin(route=echo, idle_s=30.0, most=FLEET + 100, max_threads=THREADS):
         begun.append(
-            Served(Server(("127.0.0.1", 0), route, idle_s=idle_s, body_s=5.0, most=most, max_threads=max_threads))
+            Served(
+                Server(
+                    ("127.0.0.1", 0), route, idle_s=idle_s, body_s=5.0, max_connections=most, max_threads=max_threads
+                )
+            )
         )
         return begun[-1]
 
@@ -120,7 +124,7 @@
             assert answers(stream, 1) == [b'{"path":"/%d/%d","body":""}' % (turn, index)]
             most = max(most, threading.active_count() - before)
     assert most <= THREADS
-    assert served.server._open == number
+    assert served.server.open_connections == number
 
 
 def test_a_fleet_that_asks_at_once_is_answered_in_turn(serve):
@@ -140,7 +144,7 @@
     served = serve(max_threads=8)
     for _ in range(100):
         served.connect()
-    assert until(lambda: served.server._open == 100)
+    assert until(lambda: served.server.open_connections == 100)
     last = served.connect()
     ask(last, "/x")
     assert len(answers(last, 1)) == 1
@@ -158,7 +162,7 @@
     assert silent.recv(1) == b""
     assert stream.recv(1) == b""
     assert 1.0 < time.monotonic() - began < 6.0
-    assert until(lambda: served.server._open == 0)
+    assert until(lambda: served.server.open_connections == 0)
 
 
 def test_pipelined_requests_are_all_answered(serve):
@@ -175,17 +179,17 @@
 
 def test_connections_beyond_the_most_are_refused_and_yielding_answers_end_theirs(serve):
     def route(method, path, body):
-        return Reply(200, {}, yields=True)
+        return Reply(200, {}, close_if_crowded=True)
 
     served = serve(route, most=20, max_threads=4)
     kept = [served.connect() for _ in range(18)]
-    assert until(lambda: served.server._open == 18)
+    assert until(lambda: served.server.open_connections == 18)
     more = [served.connect() for _ in range(2)]
-    assert until(lambda: served.server._open == 20)
+    assert until(lambda: served.server.open_connections == 20)
     assert served.connect().recv(1) == b""
     ask(kept[0], "/x")
     assert len(answers(kept[0], 1)) == 1 and kept[0].recv(1) == b""  # 0.9 of 20 and more are in use
-    assert until(lambda: served.server._open == 19)
+    assert until(lambda: served.server.open_connections == 19)
     ask(more[0], "/x")
     assert len(answers(more[0], 1)) == 1
 
@@ -199,7 +203,7 @@
     served.server.shutdown()
     served.server.server_close()
     assert all(stream.recv(1) == b"" for stream in streams)
-    assert until(lambda: served.server._open == 0)
+    assert until(lambda: served.server.open_connections == 0)
 
 
 def test_with_a_thread_for_each_connection_nothing_is_parked(serve):
@@ -225,7 +229,7 @@
         for _ in range(3):
             for client in clients:
                 assert client.request("POST", "/x", {"a": 1}, 10.0)[0] == 200
-        assert threading.active_count() - before <= 2 and gate._open == 12
+        assert threading.active_count() - before <= 2 and gate.open_connections == 12
         assert all(len(client._idle) == 1 for client in clients)
     finally:
         gate.shutdown()
@@ -262,10 +266,10 @@
         go.wait(10.0)
         served.append(connection)
 
-    workers = ConnectionThreads(most=2, short_from=1, most_waiting=3, serve=serve)
+    workers = ConnectionThreads(max_threads=2, scarce_from=1, max_waiting=3, serve=serve)
     connections = [Connection(None, number) for number in range(6)]
     assert [workers.submit(connection) for connection in connections] == [True] * 5 + [False]
-    assert workers.running == 2 and workers.short
+    assert workers.running == 2 and workers.scarce
     go.set()
     assert until(lambda: len(served) == 5)
     assert {connection.address for connection in served} == {*range(5)}
@@ -323,10 +327,13 @@
     try:
         inner = settings.controller(1, "127.0.0.1")
         threads = connection_limits.threads(inner) + connection_limits.asking(inner)
-        assert control.gate.most == 4500 and control.gate.request_queue_size == 4500 // 16
+        assert control.gate.max_connections == 4500 and control.gate.request_queue_size == 4500 // 16
         assert "may open 1024 files" in caplog.text
         assert control.gate._idle is not None
-        assert control.gate._threads._most + (threads - connection_limits.threads(inner)) + SIDES * SIDE_THREADS <= 1900
+        assert (
+            control.gate._threads._max_threads + (threads - connection_limits.threads(inner)) + SIDES * SIDE_THREADS
+            <= 1900
+        )
     finally:
         for gate in control.gates:
             gate.server_close()
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -115,9 +115,9 @@
     """Whoever had come first kept its connection, and the others lost their leases."""
 
     def route(method, path, body):
-        return Reply(200, {"path": path}, yields=path == "/worker")
+        return Reply(200, {"path": path}, close_if_crowded=path == "/worker")
 
-    server = Server(("127.0.0.1", 0), route, idle_s=20.0, body_s=1.0, most=20)
+    server = Server(("127.0.0.1", 0), route, idle_s=20.0, body_s=1.0, max_connections=20)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     try:
         address = server.server_address[:2]
@@ -132,7 +132,7 @@
                     assert workers[number].request("GET", "/worker")[0] == 200
                     missing.discard(number)
         assert not missing
-        assert server._open <= 20
+        assert server.open_connections <= 20
         assert user.request("GET", "/user")[0] == 200 and user._idle == [users_own]
     finally:
         server.shutdown()
--- a/tidebend/transport/__init__.py
+++ b/tidebend/transport/__init__.py
@@ -1,23 +1,34 @@
-"""HTTP and framed CBOR over blocking sockets: servers, clients, time-outs and request budgets."""
+"""HTTP and framed CBOR over blocking sockets: servers, clients, timeouts and rate limits.
 
-from tidebend.transport.budget import Budget
-from tidebend.transport.client import HttpClient, NoAnswer, Unreachable
+`Server` accepts connections; `ConnectionCount` bounds them, `ConnectionThreads` serves them, `IdleConnections` watches
+those that wait for their next request, and `Handler` reads and answers requests. `HttpClient` is the other side.
+`FrameServer`, `send_frame` and `receive_frame` are for controllers among themselves.
+"""
+
+from tidebend.transport.client import HttpClient, NoAnswer, NoAnswerError, Unreachable, UnreachableError
 from tidebend.transport.frames import MAX_FRAME, FrameServer, receive_frame, send_frame
-from tidebend.transport.server import MAX_BODY, BadRequest, Handler, Reply, Route, Server
+from tidebend.transport.replies import BadRequest, BadRequestError, Reply, Route
+from tidebend.transport.request_handler import MAX_BODY, Handler
+from tidebend.transport.server import Server
+from tidebend.transport.token_bucket import Budget, TokenBucket
 
 __all__ = [
     "MAX_BODY",
     "MAX_FRAME",
     "BadRequest",
+    "BadRequestError",
     "Budget",
     "FrameServer",
     "Handler",
     "HttpClient",
     "NoAnswer",
+    "NoAnswerError",
     "Reply",
     "Route",
     "Server",
+    "TokenBucket",
     "Unreachable",
+    "UnreachableError",
     "receive_frame",
     "send_frame",
 ]
--- a/tidebend/transport/client.py
+++ b/tidebend/transport/client.py
@@ -1,4 +1,4 @@
-"""HTTP requests over persistent connections."""
+"""HTTP requests over keep-alive connections."""
 
 from __future__ import annotations
 
@@ -9,42 +9,47 @@
 from typing import Any
 
 
-class Unreachable(Exception):
+class UnreachableError(Exception):
     """The request was certainly not executed: no connection came about."""
 
 
-class NoAnswer(Exception):
+class NoAnswerError(Exception):
     """There was no usable answer: the request may have been executed, or may be later."""
 
 
+Unreachable = UnreachableError  # alias for the time of joining
+NoAnswer = NoAnswerError  # alias for the time of joining
+
+
 class HttpClient:
-    """Persistent connections to one address; safe for use by several threads."""
+    """Keep-alive connections to one address; safe for use by several threads.
 
-    def __init__(self, address: tuple[str, int], keep: int = 4) -> None:
+    A request is sent once and never repeated here: whether that is safe is for the caller to know. Subclasses may
+    replace `_connection` and `_headers`.
+    """
+
+    def __init__(self, address: tuple[str, int], max_idle: int = 4) -> None:
+        """`max_idle`: so many connections are kept for later requests; more are closed after their answer."""
         self.address = address
-        self._keep = keep
+        self._max_idle = max_idle
         self._idle: list[http.client.HTTPConnection] = []
         self._lock = threading.Lock()
 
     def _connection(self, timeout: float) -> http.client.HTTPConnection:
+        """A connection that isn't open yet."""
         return http.client.HTTPConnection(*self.address, timeout=timeout)
 
     def _headers(self, with_body: bool) -> dict[str, str]:
+        """The headers of each request."""
         return {"Content-Type": "application/json"} if with_body else {}
 
     def request(self, method: str, path: str, body: Any = None, timeout: float = 2.0) -> tuple[int, Any]:
-        with self._lock:
-            connection = self._idle.pop() if self._idle else None
-        if connection is None:
-            connection = self._connection(timeout)
-            try:
-                connection.connect()
-                connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            except OSError as error:
-                connection.close()
-                raise Unreachable(str(error)) from error
-        else:
-            connection.sock.settimeout(timeout)
+        """The status and the decoded JSON of the answer; `body` is sent as JSON unless it is None.
+
+        `timeout` in seconds is for each step: to connect, to send, and each read. Raises UnreachableError or
+        NoAnswerError.
+        """
+        connection = self._take_connection(timeout)
         data = None if body is None else json.dumps(body, separators=(",", ":")).encode()
         try:
             connection.request(method, path, data, self._headers(data is not None))
@@ -54,17 +59,36 @@
             answer = json.loads(raw) if raw else None
         except (OSError, http.client.HTTPException, ValueError) as error:
             connection.close()
-            raise NoAnswer(str(error)) from error
+            raise NoAnswerError(str(error)) from error
         if response.will_close or connection.sock is None:
             connection.close()
         else:
-            with self._lock:
-                if len(self._idle) < self._keep:
-                    self._idle.append(connection)
-                    return status, answer
-            connection.close()
+            self._keep_connection(connection)
         return status, answer
 
+    def _take_connection(self, timeout: float) -> http.client.HTTPConnection:
+        """An idle connection, or a new one. Raises UnreachableError."""
+        with self._lock:
+            idle = self._idle.pop() if self._idle else None
+        if idle is not None:
+            idle.sock.settimeout(timeout)
+            return idle
+        connection = self._connection(timeout)
+        try:
+            connection.connect()
+            connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        except OSError as error:
+            connection.close()
+            raise UnreachableError(str(error)) from error
+        return connection
+
+    def _keep_connection(self, connection: http.client.HTTPConnection) -> None:
+        with self._lock:
+            if len(self._idle) < self._max_idle:
+                self._idle.append(connection)
+                return
+        connection.close()
+
     def close(self) -> None:
         """Close the connections that are idle."""
         with self._lock:
--- a/tidebend/transport/connection_threads.py
+++ b/tidebend/transport/connection_threads.py
@@ -8,46 +8,51 @@
 
 from tidebend.transport.idle_connections import Connection
 
-# Once threads are short one that is done waits so long for another connection. Guards against a new thread for each
-# request of a large fleet.
+# Once threads are scarce, one that is done waits so many seconds for another connection. Guards against a new thread
+# for each request of a large fleet.
 LINGER_S = 1.0
 
 
 class ConnectionThreads:
     """Serves each connection in a thread of its own while there are threads, else in turn, first come, first served.
 
-    Guarantees: never more than `most` threads, never more than `most_waiting` connections in the queue; `serve` is
-    called without a lock, once for every connection that `submit` took, unless this is closed first.
+    Guarantees: never more than `max_threads` threads, never more than `max_waiting` connections in the queue; `serve`
+    is called without a lock, once for every connection that `submit` took, unless this is closed first.
     """
 
-    def __init__(self, most: int, short_from: int, most_waiting: int, serve: Callable[[Connection], None]) -> None:
-        """Threads are `short` from `short_from` of them on. `serve` must not raise."""
-        self._most = most
-        self._short_from = short_from
-        self._most_waiting = most_waiting
+    def __init__(
+        self, max_threads: int, scarce_from: int, max_waiting: int, serve: Callable[[Connection], None]
+    ) -> None:
+        """Threads are `scarce` from `scarce_from` of them on. `serve` must not raise."""
+        self._max_threads = max_threads
+        self._scarce_from = scarce_from
+        self._max_waiting = max_waiting
         self._serve = serve
-        self._changed = threading.Condition()  # of all that follows
+        self._changed = threading.Condition()  # guards all that follows
         self._running = 0  # threads, with those that linger
         self._lingering = 0
         self._waiting: deque[Connection] = deque()
         self._closed = False
 
     @property
-    def short(self) -> bool:
+    def scarce(self) -> bool:
         """Whether a thread is better not kept for a connection that is idle."""
-        return self._running >= self._short_from
+        return self._running >= self._scarce_from
 
     @property
     def running(self) -> int:
+        """How many threads there are, with those that linger."""
         return self._running
 
     def submit(self, connection: Connection) -> bool:
-        """Have a connection served; False, and it stays the caller's, if the queue is full, no thread can be had, or
-        this is closed."""
+        """Have a connection served.
+
+        Returns False, and it stays the caller's, if the queue is full, no thread can be had, or this is closed.
+        """
         with self._changed:
             if self._closed:
                 return False
-            if self._lingering > len(self._waiting) or self._running >= self._most:
+            if self._lingering > len(self._waiting) or self._running >= self._max_threads:
                 return self._enqueue(connection)
             self._running += 1
         thread = threading.Thread(target=self._run, args=(connection,), name="connection", daemon=True)
@@ -60,8 +65,8 @@
         return True
 
     def _enqueue(self, connection: Connection) -> bool:
-        """Under the lock."""
-        if len(self._waiting) >= self._most_waiting:
+        """Under the lock: False if the queue is full."""
+        if len(self._waiting) >= self._max_waiting:
             return False
         self._waiting.append(connection)
         self._changed.notify()
@@ -89,7 +94,7 @@
     def _next(self) -> Connection | None:
         """The connection that has waited longest; None if the thread is to end."""
         with self._changed:
-            if not self._waiting and self.short and not self._closed:
+            if not self._waiting and self.scarce and not self._closed:
                 self._lingering += 1
                 self._changed.wait_for(lambda: self._waiting or self._closed, LINGER_S)
                 self._lingering -= 1
--- a/tidebend/transport/frames.py
+++ b/tidebend/transport/frames.py
@@ -1,4 +1,4 @@
-"""Bounded CBOR frames between processes."""
+"""Frames between controllers: a length of four bytes, then so many bytes of CBOR."""
 
 from __future__ import annotations
 
@@ -13,21 +13,26 @@
 
 log = logging.getLogger("transport")
 
+# Bytes of a frame without its length. A longer one isn't read: its sender is no controller of ours.
 MAX_FRAME = 1024 * 1024
+READ_BYTES = 65536
+LENGTH = struct.Struct("!I")
 
 
 def _receive(stream: socket.socket, length: int) -> bytes:
-    parts = bytearray()
-    while len(parts) < length:
-        part = stream.recv(min(65536, length - len(parts)))
+    """Exactly so many bytes."""
+    data = bytearray()
+    while len(data) < length:
+        part = stream.recv(min(READ_BYTES, length - len(data)))
         if not part:
             raise OSError("closed")
-        parts += part
-    return bytes(parts)
+        data += part
+    return bytes(data)
 
 
 def receive_frame(stream: socket.socket) -> Any:
-    (length,) = struct.unpack("!I", _receive(stream, 4))
+    """The value of the next frame. Raises OSError for a broken connection, and for what is no frame of ours."""
+    (length,) = LENGTH.unpack(_receive(stream, LENGTH.size))
     if length > MAX_FRAME:
         raise OSError("frame too long")
     try:
@@ -37,15 +42,16 @@
 
 
 def send_frame(stream: socket.socket, value: Any) -> None:
+    """Send a value as one frame. Raises OSError. The length isn't checked here: see `MAX_FRAME`."""
     data = cbor2.dumps(value)
-    stream.sendall(struct.pack("!I", len(data)) + data)
+    stream.sendall(LENGTH.pack(len(data)) + data)
 
 
 class FrameServer(socketserver.ThreadingMixIn, socketserver.TCPServer):
-    """The peers' link: frames come in, and each is acknowledged.
+    """Receives frames from other controllers and acknowledges each, with a thread for each connection.
 
-    The acknowledgement guards against a connection that died in a cut: without it a sender would go on filling
-    its buffer for minutes, believing that it is heard.
+    The acknowledgement guards against a connection that was lost in a network partition: without it a sender would
+    go on filling its send buffer for minutes as if its frames arrived.
     """
 
     daemon_threads = True
@@ -53,7 +59,9 @@
     allow_reuse_address = True
 
     def __init__(self, address: tuple[str, int], receive: Callable[[Any], None], idle_s: float) -> None:
-        class Handler(socketserver.BaseRequestHandler):
+        """`receive` is called with each frame's value; a connection without a frame for `idle_s` seconds is closed."""
+
+        class FrameHandler(socketserver.BaseRequestHandler):
             def handle(self) -> None:
                 self.request.settimeout(idle_s)
                 try:
@@ -63,7 +71,8 @@
                 except OSError:
                     return
 
-        super().__init__(address, Handler)
+        super().__init__(address, FrameHandler)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
+        """A connection that fails is no error of this process."""
         log.debug("peer connection of %s ended", client_address, exc_info=True)
--- a/tidebend/transport/idle_connections.py
+++ b/tidebend/transport/idle_connections.py
@@ -10,10 +10,11 @@
 from collections import deque
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, cast
 
 log = logging.getLogger("transport")
 
+# Read from the wake-up socket at a time; what is left over wakes the loop once more.
 WAKE_BYTES = 4096
 
 
@@ -41,8 +42,8 @@
         self._idle_s = idle_s
         self._ready = ready
         self._expired = expired
-        self._lock = threading.Lock()  # of the next two
-        self._arrivals: deque[tuple[Connection, float]] = deque()  # with the steady time at which they expire
+        self._lock = threading.Lock()  # guards the next two
+        self._arrivals: deque[tuple[Connection, float]] = deque()  # with the monotonic time at which they expire
         self._closed = False
         # only for the loop's thread: in the order in which they came, which is also the order in which they expire
         self._parked: dict[socket.socket, tuple[Connection, float]] = {}
@@ -87,16 +88,17 @@
         while not self._closed:
             events = self._selector.select(self._pause_s())
             for key, _ in events:
-                if key.fileobj is self._woken:
+                stream = cast(socket.socket, key.fileobj)  # nothing else is registered
+                if stream is self._woken:
                     self._drain()
                 else:
-                    self._hand_on(key.fileobj, self._ready)
+                    self._hand_on(stream, self._ready)
             self._take_arrivals()
             self._expire(time.monotonic())
         self._end()
 
     def _pause_s(self) -> float | None:
-        """Until the first connection expires; None, without an end, while there is none."""
+        """Seconds until the first connection expires; None, without an end, while there is none."""
         for _, expires in self._parked.values():
             return max(0.0, expires - time.monotonic())
         return None
@@ -132,7 +134,7 @@
         self._call(receiver, connection)
 
     def _call(self, receiver: Callable[[Connection], None], connection: Connection) -> None:
-        """Guards the other connections against a failure with one."""
+        """Call one of the two receivers; guards the other connections against a failure with one."""
         try:
             receiver(connection)
         except Exception:
