--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -15,9 +15,11 @@
 from tidebend.control.main import SIDE_THREADS, SIDES, Control
 from tidebend.control.settings import load_control_settings
 from tidebend.controller import connection_limits
-from tidebend.kvstore import Engine, StateService
-from tidebend.kvstore.engine import PAGE, Write
-from tidebend.kvstore.watch_feed import MOST_CHANGES, Changed, Feed, TooOld
+from tidebend.kvstore import Engine, StateService, Write
+from tidebend.kvstore.errors import RevisionTooOldError
+from tidebend.kvstore.reads import PAGE
+from tidebend.kvstore.records import Change
+from tidebend.kvstore.watch_feed import MOST_CHANGES, WatchFeed
 from tidebend.messages import paths
 from tidebend.protocol import store as wire
 from tidebend.provider import AgentProcesses, Kind, Provider
@@ -437,8 +439,8 @@
 
 
 def test_whoever_is_behind_more_changes_than_are_kept_is_told_to_read_again():
-    feed = Feed(0)
-    feed.publish([Changed(f"k/{number}", b"1", number + 1) for number in range(MOST_CHANGES + 1)], MOST_CHANGES + 1)
-    with pytest.raises(TooOld):
+    feed = WatchFeed(0)
+    feed.publish([Change(f"k/{number}", b"1", number + 1) for number in range(MOST_CHANGES + 1)], MOST_CHANGES + 1)
+    with pytest.raises(RevisionTooOldError):
         feed.since("k/", 0, 0.0)
     assert len(feed.since("k/", 1, 0.0)[0]) == MOST_CHANGES
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -132,7 +132,7 @@
             sys.executable,
             "-c",
             "import sys, time; from pathlib import Path\n"
-            "from tidebend.kvstore.disk_log import DirectoryLock\n"
+            "from tidebend.kvstore import DirectoryLock\n"
             "from tidebend.agent.write_ahead_log import Diary\n"
             "from tidebend.agent.processes import look, boot_id\n"
             "import os; place = Path(sys.argv[1]); lock = DirectoryLock(place); d = Diary(place)\n"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,21 +1,35 @@
 """The embedded state service: the protocol's answers, and what is left after each way of failing."""
 
+import json
 import os
+import shutil
 import signal
 import sqlite3
 import subprocess
 import sys
 import threading
 import time
+from pathlib import Path
 
 import pytest
 
-from tidebend.kvstore import Damaged, Engine, Failed, Held, StateService
-from tidebend.kvstore.disk_log import FILE
-from tidebend.kvstore.engine import ConditionFailed, LeaseEnded, Write
+from tidebend.kvstore import (
+    ConditionFailedError,
+    DataDamagedError,
+    DirectoryLockedError,
+    Engine,
+    LeaseEndedError,
+    StateService,
+    StoreUnavailableError,
+    Write,
+)
+from tidebend.kvstore.database import FILE
 from tidebend.settings import Limits
 
 LIMITS = Limits(1e6, 1e6, 1024, 4)
+# A data directory as the code of commit b21e54f left it in a crash, its last change in the write-ahead log only, and
+# what that code read from it.
+SAMPLE = Path(__file__).parent / "samples" / "kvstore-b21e54f"
 
 
 @pytest.fixture
@@ -58,8 +72,6 @@
 
 
 def test_answers_are_the_protocols(engine):
-    import json
-
     service = StateService(engine, LIMITS)
     for line in CALLS.strip().splitlines():
         call, _, expected = line.partition(" -> ")
@@ -99,7 +111,7 @@
         time.sleep(0.02)
     assert engine.get("mine")[0] is None and engine.get("kept")[0] is not None
     assert not engine.leases.extend(lease)
-    with pytest.raises(LeaseEnded):
+    with pytest.raises(LeaseEndedError):
         engine.transact({"nothing": 7}, [Write("mine", b"1", lease)])
 
 
@@ -150,7 +162,7 @@
 
 
 def test_a_second_service_on_the_directory_is_refused(engine, tmp_path):
-    with pytest.raises(Held):
+    with pytest.raises(DirectoryLockedError):
         Engine(tmp_path / "s")
     engine.transact({}, [Write("a", b"1")])
 
@@ -175,7 +187,7 @@
     else:
         os.truncate(path, path.stat().st_size - 20_000)
     before = path.read_bytes()
-    with pytest.raises(Damaged, match=FILE):
+    with pytest.raises(DataDamagedError, match=FILE):
         Engine(tmp_path / "s")
     assert path.read_bytes() == before
 
@@ -204,9 +216,9 @@
     pages = engine._connection.execute("PRAGMA page_count").fetchone()[0]
     engine._connection.execute(f"PRAGMA max_page_count = {pages}")
     big = b'"' + b"x" * 20_000 + b'"'
-    with pytest.raises(Failed, match="full"):
+    with pytest.raises(StoreUnavailableError, match="full"):
         engine.transact({}, [Write("big", big)])
-    with pytest.raises(Failed):
+    with pytest.raises(StoreUnavailableError):
         engine.transact({}, [Write("big2", big)])
     assert (
         StateService(engine, Limits(1e6, 1e6, 32768, 4)).handle(
@@ -244,7 +256,7 @@
             try:
                 engine.transact({f"k/{turn}": 0}, [Write(f"k/{turn}", b"%d" % number)])
                 won.append((turn, number))
-            except ConditionFailed:
+            except ConditionFailedError:
                 continue
 
     threads = [threading.Thread(target=client, args=(number,)) for number in range(6)]
@@ -259,7 +271,7 @@
 WRITER = """
 import sys
 from pathlib import Path
-from tidebend.kvstore.engine import Engine, Write
+from tidebend.kvstore import Engine, Write
 engine = Engine(Path(sys.argv[1]))
 for number in range(100):
     engine.transact({}, [Write(f"k/{number:03}", b"1")])
@@ -283,3 +295,43 @@
     assert engine.count("k/") == answered + (fault.startswith("store.after"))
     assert engine.feed.revision == engine.count("k/")
     engine.close()
+
+
+def copy_of_sample(tmp_path):
+    for name in (FILE, f"{FILE}-wal"):
+        shutil.copy(SAMPLE / name, tmp_path / name)
+    return json.loads((SAMPLE / "expected.json").read_text())
+
+
+def test_a_data_directory_of_an_earlier_version_is_read_as_it_was(tmp_path):
+    expected = copy_of_sample(tmp_path)
+    engine = Engine(tmp_path)
+    try:
+        rows, more, revision = engine.items("", "", 1000, 1 << 20)
+        assert [[row.key, row.value, row.version, row.lease] for row in rows] == expected["items"] and not more
+        assert revision == engine.feed.revision == expected["revision"]
+        lives = dict(engine._connection.execute("SELECT id, life_ms FROM leases"))
+        assert {str(number): life for number, life in lives.items()} == expected["leases"]
+        numbers = range(1, expected["last_lease"] + 1)
+        assert [str(number) for number in numbers if engine.leases.extend(number)] == [*expected["leases"]]
+        # and it goes on from there
+        assert engine.grant(1000) == expected["last_lease"] + 1
+        assert engine.transact({"job/req-a": 1}, [Write("job/req-a", b"2")]) == revision + 1
+        assert engine.end_lease(1)
+        assert [row.key for row in engine.all_items("")] == ["job/req-a", "job/req-ü", "text"]
+    finally:
+        engine.close()
+
+
+def stored_form(directory):
+    with sqlite3.connect(directory / FILE) as db:
+        tables = db.execute("SELECT type, name, sql FROM sqlite_master ORDER BY type, name").fetchall()
+        pragmas = ("application_id", "user_version", "journal_mode", "page_size", "encoding")
+        return tables, [db.execute(f"PRAGMA {name}").fetchone()[0] for name in pragmas]
+
+
+def test_a_new_data_directory_has_the_stored_form_of_an_earlier_version(tmp_path):
+    Engine(tmp_path / "new").close()
+    (tmp_path / "old").mkdir()
+    copy_of_sample(tmp_path / "old")
+    assert stored_form(tmp_path / "new") == stored_form(tmp_path / "old")
--- a/tidebend/kvstore/__init__.py
+++ b/tidebend/kvstore/__init__.py
@@ -1,8 +1,40 @@
-"""The embedded state service: the protocol's keys, transactions, leases and changes, durable in one directory."""
+"""The embedded state service: the protocol's keys, transactions, leases and changes, durable in one directory.
 
-from tidebend.kvstore.disk_log import Damaged, Held
-from tidebend.kvstore.engine import Engine, Failed
+`Engine` is the store. Its `CommitQueue` executes operations and makes them durable, its `ReaderPool` reads, its
+`LeaseClock` tells when leases expire, and its `WatchFeed` tells watches of changes. `StateService` answers the
+protocol's requests from an engine, and `InProcessClient` asks it without a socket.
+"""
+
+from tidebend.kvstore.directory_lock import DirectoryLock
+from tidebend.kvstore.engine import Engine
+from tidebend.kvstore.errors import (
+    ConditionFailedError,
+    Damaged,
+    DataDamagedError,
+    DirectoryLockedError,
+    Failed,
+    Held,
+    LeaseEndedError,
+    StoreUnavailableError,
+)
 from tidebend.kvstore.http_api import StateService
-from tidebend.kvstore.in_process import Direct
+from tidebend.kvstore.in_process import Direct, InProcessClient
+from tidebend.kvstore.records import Item, Write
 
-__all__ = ["Damaged", "Direct", "Engine", "Failed", "Held", "StateService"]
+__all__ = [
+    "ConditionFailedError",
+    "Damaged",
+    "DataDamagedError",
+    "Direct",
+    "DirectoryLock",
+    "DirectoryLockedError",
+    "Engine",
+    "Failed",
+    "Held",
+    "InProcessClient",
+    "Item",
+    "LeaseEndedError",
+    "StateService",
+    "StoreUnavailableError",
+    "Write",
+]
--- a/tidebend/kvstore/leases.py
+++ b/tidebend/kvstore/leases.py
@@ -1,7 +1,7 @@
-"""Leases on the steady clock: which live, and which have run out.
+"""Leases on the monotonic clock: which are live, and which have expired.
 
-A clock of the day that is set back changes nothing here. What is durable of a lease (that it exists, and its length)
-is in the file; when it ends is not, since after an outage every lease has its full time again.
+A wall clock that is set back changes nothing here. What is durable of a lease (that it exists, and its lifetime) is in
+the database; when it expires is not, since after an outage every lease has its full lifetime again.
 """
 
 from __future__ import annotations
@@ -13,59 +13,71 @@
 
 @dataclass
 class Lease:
+    """A live lease."""
+
     life_s: float
-    until: float  # steady time
+    expires_at: float  # monotonic time
+
+
+class LeaseClock:
+    """Tells when leases expire. Safe for use by several threads.
 
+    A lease that has expired or was ended stays `expired` until `forget` says that its end is durable; meanwhile nobody
+    can extend it or attach keys to it.
+    """
 
-class Leases:
     def __init__(self, lives_ms: dict[int, int]) -> None:
+        """Leases by number, with their lifetimes in milliseconds, which all begin now."""
         now = time.monotonic()
         self._lock = threading.Lock()
         self._live = {number: Lease(life / 1000.0, now + life / 1000.0) for number, life in lives_ms.items()}
-        # run out, but not yet recorded as ended: nobody can renew them or attach keys to them any more
-        self._ending: set[int] = set()
+        self._expired: set[int] = set()
 
     def add(self, number: int, life_ms: int) -> None:
+        """A lease that was granted; its lifetime begins now."""
         with self._lock:
             self._live[number] = Lease(life_ms / 1000.0, time.monotonic() + life_ms / 1000.0)
 
     def extend(self, number: int) -> bool:
+        """Give a lease its full lifetime from now on; False if it isn't live."""
         with self._lock:
             lease = self._live.get(number)
-            if lease is None or lease.until < time.monotonic():
+            if lease is None or lease.expires_at < time.monotonic():
                 return False
-            lease.until = time.monotonic() + lease.life_s
+            lease.expires_at = time.monotonic() + lease.life_s
             return True
 
-    def lives(self, number: int) -> bool:
+    def is_live(self, number: int) -> bool:
+        """Whether keys may be attached to it."""
         with self._lock:
             lease = self._live.get(number)
-            return lease is not None and lease.until >= time.monotonic()
+            return lease is not None and lease.expires_at >= time.monotonic()
 
-    def run_out(self) -> set[int]:
-        """Those whose end has to be recorded; they are asked for again until `ended` is called."""
+    def expired(self) -> set[int]:
+        """Those whose end has to be made durable; they are returned again until `forget` is called."""
         now = time.monotonic()
         with self._lock:
-            for number in [number for number, lease in self._live.items() if lease.until < now]:
+            for number in [number for number, lease in self._live.items() if lease.expires_at < now]:
                 del self._live[number]
-                self._ending.add(number)
-            return set(self._ending)
+                self._expired.add(number)
+            return set(self._expired)
 
     def end(self, number: int) -> bool:
         """End one at its holder's wish; False if it isn't there."""
         with self._lock:
             if self._live.pop(number, None) is None:
                 return False
-            self._ending.add(number)
+            self._expired.add(number)
             return True
 
-    def ended(self, numbers: set[int]) -> None:
+    def forget(self, numbers: set[int]) -> None:
+        """The end of these is durable."""
         with self._lock:
-            self._ending -= numbers
+            self._expired -= numbers
 
-    def full_time_again(self) -> None:
-        """After an outage: nobody could renew meanwhile."""
+    def restart_all(self) -> None:
+        """Give all live leases their full lifetime: after an outage, in which nobody could extend them."""
         now = time.monotonic()
         with self._lock:
             for lease in self._live.values():
-                lease.until = now + lease.life_s
+                lease.expires_at = now + lease.life_s
--- /dev/null
+++ b/tidebend/kvstore/records.py
@@ -0,0 +1,34 @@
+"""The store's values: items, writes and changes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+
+@dataclass(frozen=True, slots=True)
+class Write:
+    """One write of a transaction: a put or a delete."""
+
+    key: str
+    value: bytes | None  # JSON; None deletes
+    lease: int | None = None  # the item is deleted when this lease ends; None: attached to none
+
+
+@dataclass(frozen=True, slots=True)
+class Item:
+    """An item as it was read."""
+
+    key: str
+    value: Any  # decoded JSON
+    version: int  # the revision of its last put
+    lease: int | None
+
+
+@dataclass(frozen=True, slots=True)
+class Change:
+    """A durable change, for watches."""
+
+    key: str
+    value: bytes | None  # JSON; None: deleted
+    version: int  # the revision at which it happened
--- a/tools/bench_store.py
+++ b/tools/bench_store.py
@@ -21,9 +21,8 @@
 import lmdb
 from hdrh.histogram import HdrHistogram
 
-from tidebend.kvstore import engine as engine_module
-from tidebend.kvstore.disk_log import connect
-from tidebend.kvstore.engine import ConditionFailed, Engine, Write
+from tidebend.kvstore import ConditionFailedError, Engine, Write, commit_queue
+from tidebend.kvstore.database import connect
 
 VALUE = json.dumps({"claims": "x" * 280}).encode()
 
@@ -66,7 +65,7 @@
                         if int.from_bytes((writing.get(key.encode()) or b"")[:8], "big") != version
                     ]
                     if failed:
-                        outcomes.append((answer, ConditionFailed(failed, self.revision)))
+                        outcomes.append((answer, ConditionFailedError(failed, self.revision)))
                         continue
                     self.revision += 1
                     for write in writes:
@@ -177,11 +176,11 @@
         "lmdb, shared syncs": lambda place: Lmdb(place, 256),
         "lmdb, one a sync": lambda place: Lmdb(place, 1),
     }
-    most = engine_module.MOST_IN_A_SYNC
+    most = commit_queue.MOST_IN_A_COMMIT
     for turn in range(arguments.rounds):
         for clients in (1, 8, 32):
             for name, make in kinds.items():
-                engine_module.MOST_IN_A_SYNC = 1 if "one" in name else most
+                commit_queue.MOST_IN_A_COMMIT = 1 if "one" in name else most
                 store = make(root / f"{turn}-{clients}-{name.replace(' ', '')}")
                 print(
                     json.dumps({"store": name, "clients": clients, **load(store, clients, arguments.seconds)}),
