--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 
 from lab.world import World
 from tidebend.cli import main
-from tidebend.settings import Knobs, SettingsError, load_settings, read_settings
+from tidebend.settings import Knobs, SettingsError, load_knobs, load_settings, read_settings
 
 
 def write(tmp_path, name, text):
@@ -25,11 +25,9 @@
 
 
 def test_operators_knobs(tmp_path):
-    from tidebend.settings import _knobs
-
-    assert _knobs(write(tmp_path, "a.hcl", "keep_idle = 0.7\nother = 3\n")) == Knobs(keep_idle=0.7)
+    assert load_knobs(write(tmp_path, "a.hcl", "keep_idle = 0.7\nother = 3\n")) == Knobs(keep_idle=0.7)
     with pytest.raises(SettingsError, match="keep_idle must be a ratio"):
-        _knobs(write(tmp_path, "b.hcl", 'keep_idle = "much"\n'))
+        load_knobs(write(tmp_path, "b.hcl", 'keep_idle = "much"\n'))
 
 
 def test_a_limit_of_zero_is_none_and_unknown_fields_are_ignored():
