--- a/tidebend/kvstore/__init__.py
+++ b/tidebend/kvstore/__init__.py
@@ -9,28 +9,25 @@
 from tidebend.kvstore.engine import Engine
 from tidebend.kvstore.errors import (
     ConditionFailedError,
-    Damaged,
     DataDamagedError,
     DirectoryLockedError,
-    Failed,
-    Held,
     LeaseEndedError,
     StoreUnavailableError,
 )
 from tidebend.kvstore.http_api import StateService
-from tidebend.kvstore.in_process import Direct, InProcessClient
+from tidebend.kvstore.in_process import InProcessClient
 from tidebend.kvstore.records import Item, Write
 
 __all__ = [
     "ConditionFailedError",
-    "Damaged",
+    "Damaged",  # alias for the time of joining
     "DataDamagedError",
-    "Direct",
+    "Direct",  # alias for the time of joining
     "DirectoryLock",
     "DirectoryLockedError",
     "Engine",
-    "Failed",
-    "Held",
+    "Failed",  # alias for the time of joining
+    "Held",  # alias for the time of joining
     "InProcessClient",
     "Item",
     "LeaseEndedError",
@@ -38,3 +35,8 @@
     "StoreUnavailableError",
     "Write",
 ]
+
+Damaged = DataDamagedError  # alias for the time of joining
+Direct = InProcessClient  # alias for the time of joining
+Failed = StoreUnavailableError  # alias for the time of joining
+Held = DirectoryLockedError  # alias for the time of joining
--- a/tidebend/kvstore/disk_log.py
+++ b/tidebend/kvstore/disk_log.py
@@ -1,7 +1,8 @@
-"""Alias for the time of joining: see `database`, `directory_lock` and `errors`."""
+"""Alias for the time of joining: see `directory_lock` and `errors`."""
 
-from tidebend.kvstore.database import FILE, connect
 from tidebend.kvstore.directory_lock import DirectoryLock
-from tidebend.kvstore.errors import Damaged, Held
+from tidebend.kvstore.errors import DirectoryLockedError
 
-__all__ = ["FILE", "Damaged", "DirectoryLock", "Held", "connect"]
+Held = DirectoryLockedError
+
+__all__ = ["DirectoryLock", "Held"]
--- a/tidebend/kvstore/errors.py
+++ b/tidebend/kvstore/errors.py
@@ -35,13 +35,3 @@
 
 class MalformedRequestError(Exception):
     """A request can't be executed as it is written; answered with 400 and the text."""
-
-
-# aliases for the time of joining
-Damaged = DataDamagedError
-Held = DirectoryLockedError
-Failed = StoreUnavailableError
-ConditionFailed = ConditionFailedError
-LeaseEnded = LeaseEndedError
-TooOld = RevisionTooOldError
-Malformed = MalformedRequestError
--- a/tidebend/kvstore/in_process.py
+++ b/tidebend/kvstore/in_process.py
@@ -21,6 +21,3 @@
             return self._service.handle(method, path, body, timeout)
         except TimeoutError as error:
             raise NoAnswerError("the outcome isn't known yet") from error
-
-
-Direct = InProcessClient  # alias for the time of joining
--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -40,7 +40,7 @@
     TaskReport,
     task_name,
 )
-from tidebend.protocol.fields import Invalid, InvalidMessageError
+from tidebend.protocol.fields import InvalidMessageError
 from tidebend.protocol.jobs import (
     ID,
     PATH_JOBS,
@@ -128,7 +128,7 @@
     "TASK_STATES",
     "TASK_WAITING",
     "Command",
-    "Invalid",
+    "Invalid",  # alias for the time of joining
     "InvalidMessageError",
     "JobSpec",
     "ListedMachine",
@@ -164,3 +164,5 @@
     "task_name",
     "transaction",
 ]
+
+Invalid = InvalidMessageError  # alias for the time of joining
--- a/tidebend/protocol/fields.py
+++ b/tidebend/protocol/fields.py
@@ -23,9 +23,6 @@
     """A message from outside is malformed; the text names the field."""
 
 
-Invalid = InvalidMessageError  # alias for the time of joining
-
-
 def number_field(
     body: dict[str, Any], key: str, least: float = 0.0, default: float | None = None, above: bool = False
 ) -> float:
--- a/tidebend/transport/__init__.py
+++ b/tidebend/transport/__init__.py
@@ -5,30 +5,35 @@
 `FrameServer`, `send_frame` and `receive_frame` are for controllers among themselves.
 """
 
-from tidebend.transport.client import HttpClient, NoAnswer, NoAnswerError, Unreachable, UnreachableError
+from tidebend.transport.client import HttpClient, NoAnswerError, UnreachableError
 from tidebend.transport.frames import MAX_FRAME, FrameServer, receive_frame, send_frame
-from tidebend.transport.replies import BadRequest, BadRequestError, Reply, Route
+from tidebend.transport.replies import BadRequestError, Reply, Route
 from tidebend.transport.request_handler import MAX_BODY, Handler
 from tidebend.transport.server import Server
-from tidebend.transport.token_bucket import Budget, TokenBucket
+from tidebend.transport.token_bucket import TokenBucket
 
 __all__ = [
     "MAX_BODY",
     "MAX_FRAME",
-    "BadRequest",
+    "BadRequest",  # alias for the time of joining
     "BadRequestError",
-    "Budget",
+    "Budget",  # alias for the time of joining
     "FrameServer",
     "Handler",
     "HttpClient",
-    "NoAnswer",
+    "NoAnswer",  # alias for the time of joining
     "NoAnswerError",
     "Reply",
     "Route",
     "Server",
     "TokenBucket",
-    "Unreachable",
+    "Unreachable",  # alias for the time of joining
     "UnreachableError",
     "receive_frame",
     "send_frame",
 ]
+
+BadRequest = BadRequestError  # alias for the time of joining
+Budget = TokenBucket  # alias for the time of joining
+NoAnswer = NoAnswerError  # alias for the time of joining
+Unreachable = UnreachableError  # alias for the time of joining
--- a/tidebend/transport/client.py
+++ b/tidebend/transport/client.py
@@ -17,10 +17,6 @@
     """There was no usable answer: the request may have been executed, or may be later."""
 
 
-Unreachable = UnreachableError  # alias for the time of joining
-NoAnswer = NoAnswerError  # alias for the time of joining
-
-
 class HttpClient:
     """Keep-alive connections to one address; safe for use by several threads.
 
--- a/tidebend/transport/replies.py
+++ b/tidebend/transport/replies.py
@@ -12,9 +12,6 @@
     """The request can't be read; answered with 400 and the text."""
 
 
-BadRequest = BadRequestError  # alias for the time of joining
-
-
 class Reply(Exception):  # noqa: N818 (most replies are returned; raising one only ends a route early)
     """An answer to a request: a status, a body and headers. A route returns it or raises it."""
 
@@ -42,7 +39,7 @@
         self.close_if_crowded = close_if_crowded or yields
         self.close_connection = close_connection
 
-    # aliases for the time of joining
+    # ALIASES FOR THE TIME OF JOINING BEGIN
     @property
     def yields(self) -> bool:
         """Alias of `close_if_crowded`."""
@@ -61,7 +58,7 @@
     def closes(self, value: bool) -> None:
         self.close_connection = value
 
-    # end of the aliases for the time of joining
+    # ALIASES FOR THE TIME OF JOINING END
 
 
 # Called with the method, the path with its query, and what reads the body; returns the reply or raises it, or raises
--- a/tidebend/transport/token_bucket.py
+++ b/tidebend/transport/token_bucket.py
@@ -45,6 +45,3 @@
         with self._lock:
             self.rate = rate
             self._level = min(rate * self.burst_s, self._level)
-
-
-Budget = TokenBucket  # alias for the time of joining
