--- a/tidebend/kvstore/directory_lock.py
+++ b/tidebend/kvstore/directory_lock.py
@@ -12,7 +12,7 @@
 
 
 class DirectoryLock:
-    """Held as long as the process lives; the kernel releases it when the process ends, however it ends."""
+    """Kept as long as the process lives; the kernel releases it when the process ends, however it ends."""
 
     def __init__(self, directory: Path) -> None:
         """Makes the directory if there is none. Raises DirectoryLockedError if another process holds it."""
--- a/tidebend/transport/frames.py
+++ b/tidebend/transport/frames.py
@@ -58,12 +58,15 @@
     block_on_close = False
     allow_reuse_address = True
 
-    def __init__(self, address: tuple[str, int], receive: Callable[[Any], None], idle_s: float) -> None:
-        """`receive` is called with each frame's value; a connection without a frame for `idle_s` seconds is closed."""
+    def __init__(self, address: tuple[str, int], receive: Callable[[Any], None], idle_timeout_s: float) -> None:
+        """`receive` is called with each frame's value.
+
+        A connection is closed when no frame has come for `idle_timeout_s` seconds.
+        """
 
         class FrameHandler(socketserver.BaseRequestHandler):
             def handle(self) -> None:
-                self.request.settimeout(idle_s)
+                self.request.settimeout(idle_timeout_s)
                 try:
                     while True:
                         receive(receive_frame(self.request))
--- a/tidebend/transport/idle_connections.py
+++ b/tidebend/transport/idle_connections.py
@@ -29,17 +29,17 @@
     """Watches parked connections in one `selectors` loop.
 
     Guarantees: a connection that `park` took is handed on exactly once, to `ready` when it can be read (bytes, the end
-    of the stream or an error) or to `expired` when nothing came for `idle_s` seconds, or when this is closed. Neither
-    is called under a lock. Both are called by the loop's thread, and must not block.
+    of the stream or an error) or to `expired` when nothing came for `idle_timeout_s` seconds, or when this is closed.
+    Neither is called under a lock. Both are called by the loop's thread, and must not block.
 
     The number of parked connections isn't bounded here: the server bounds all that it has open.
     """
 
     def __init__(
-        self, idle_s: float, ready: Callable[[Connection], None], expired: Callable[[Connection], None]
+        self, idle_timeout_s: float, ready: Callable[[Connection], None], expired: Callable[[Connection], None]
     ) -> None:
         """Starts the loop's thread. Raises OSError or RuntimeError if no descriptors or no thread are to be had."""
-        self._idle_s = idle_s
+        self._idle_timeout_s = idle_timeout_s
         self._ready = ready
         self._expired = expired
         self._lock = threading.Lock()  # guards the next two
@@ -63,7 +63,7 @@
         with self._lock:
             if self._closed:
                 return False
-            self._arrivals.append((connection, time.monotonic() + self._idle_s))
+            self._arrivals.append((connection, time.monotonic() + self._idle_timeout_s))
             first = len(self._arrivals) == 1
         if first:  # otherwise the loop was woken already, and hasn't looked yet
             self._wake_up()
--- a/tidebend/transport/server.py
+++ b/tidebend/transport/server.py
@@ -28,8 +28,10 @@
     Connections aren't bounded by threads. Once three quarters of `max_threads` are in use, a connection that is idle,
     new or after its answer, is parked: one thread watches all of these, and each gets a thread again when there is
     something to read. Should there be none, connections wait for one in the order of their requests. A parked
-    connection is closed when it was idle for `idle_s`, as others are. Connections with TLS are parked, too, see
-    `Handler._has_bytes`; the handshake of one that was parked as it came begins with the client's first bytes.
+    connection is closed when it was idle for `idle_s`, as others are.
+
+    Connections with TLS are parked, too, see `Handler._has_bytes`; the handshake of one that was parked as it came
+    begins with the client's first bytes.
 
     Guards against a fleet with more workers than connections. Whoever connects first would keep its connection, and
     the others, refused each time, would lose their leases. So shortly before the limit is reached, replies with
@@ -51,8 +53,8 @@
     ) -> None:
         """Binds and listens. Raises OSError, or RuntimeError if no thread is to be had.
 
-        `idle_s`: idle timeout of a connection in seconds. `body_s`: timeout of each read of a body. `backlog`:
-        connections that may wait to be accepted; they have sockets, too. `max_threads`: threads that serve
+        `idle_s`: seconds after which an idle connection is closed. `body_s`: seconds that a read of a body may wait.
+        `backlog`: connections that may wait to be accepted; they have sockets, too. `max_threads`: threads that serve
         connections; where it is None, or not below `max_connections`, nothing is ever parked.
         """
         max_connections = max_connections or most  # alias for the time of joining
