--- a/tidebend/transport/server.py
+++ b/tidebend/transport/server.py
@@ -53,9 +53,12 @@
     ) -> None:
         """Binds and listens. Raises OSError, or RuntimeError if no thread is to be had.
 
-        `idle_s`: seconds after which an idle connection is closed. `body_s`: seconds that a read of a body may wait.
-        `backlog`: connections that may wait to be accepted; they have sockets, too. `max_threads`: threads that serve
-        connections; where it is None, or not below `max_connections`, nothing is ever parked.
+        `idle_s`: seconds after which an idle connection is closed.
+        `body_s`: seconds that each read of a request's body may wait.
+        `max_connections`: connections that may be open at a time.
+        `backlog`: connections that may wait to be accepted; they have sockets, too.
+        `max_threads`: threads that serve connections; where it is None, or not below `max_connections`, nothing is ever
+        parked.
         """
         max_connections = max_connections or most  # alias for the time of joining
         self.request_queue_size = backlog
