--- a/tidebend/transport/__init__.py
+++ b/tidebend/transport/__init__.py
@@ -1,23 +1,39 @@
-"""HTTP and framed CBOR over blocking sockets: servers, clients, time-outs and request budgets."""
+"""HTTP and framed CBOR over blocking sockets: servers, clients, timeouts and rate limits.
 
-from tidebend.transport.budget import Budget
-from tidebend.transport.client import HttpClient, NoAnswer, Unreachable
+`Server` accepts connections; `ConnectionCount` bounds them, `ConnectionThreads` serves them, `IdleConnections` watches
+those that wait for their next request, and `Handler` reads and answers requests. `HttpClient` is the other side.
+`FrameServer`, `send_frame` and `receive_frame` are for controllers among themselves.
+"""
+
+from tidebend.transport.client import HttpClient, NoAnswerError, UnreachableError
 from tidebend.transport.frames import MAX_FRAME, FrameServer, receive_frame, send_frame
-from tidebend.transport.server import MAX_BODY, BadRequest, Handler, Reply, Route, Server
+from tidebend.transport.replies import BadRequestError, Reply, Route
+from tidebend.transport.request_handler import MAX_BODY, Handler
+from tidebend.transport.server import Server
+from tidebend.transport.token_bucket import TokenBucket
 
 __all__ = [
     "MAX_BODY",
     "MAX_FRAME",
-    "BadRequest",
-    "Budget",
+    "BadRequest",  # alias for the time of joining
+    "BadRequestError",
+    "Budget",  # alias for the time of joining
     "FrameServer",
     "Handler",
     "HttpClient",
-    "NoAnswer",
+    "NoAnswer",  # alias for the time of joining
+    "NoAnswerError",
     "Reply",
     "Route",
     "Server",
-    "Unreachable",
+    "TokenBucket",
+    "Unreachable",  # alias for the time of joining
+    "UnreachableError",
     "receive_frame",
     "send_frame",
 ]
+
+BadRequest = BadRequestError  # alias for the time of joining
+Budget = TokenBucket  # alias for the time of joining
+NoAnswer = NoAnswerError  # alias for the time of joining
+Unreachable = UnreachableError  # alias for the time of joining
