--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -21,7 +21,7 @@
 from lab.plays import NoVersion, play_all
 from lab.search import FAULTS as SEARCH_FAULTS
 from lab.search import search as find
-from tidebend.hcl import BadFile
+from tidebend.hcl import HclFileError
 
 BROKEN, UNUSABLE = 1, 2
 ROWS = (
@@ -236,7 +236,7 @@
             arguments.workers,
             arguments.json,
         )
-    except (BadFile, NoVersion, ValueError) as error:
+    except (HclFileError, NoVersion, ValueError) as error:
         errors.print(f"lab: {error}", markup=False, highlight=False)
         return UNUSABLE
     if arguments.json:
--- a/lab/experiment.py
+++ b/lab/experiment.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tidebend.hcl import BadFile, File
+from tidebend.hcl import HclFile, HclFileError
 
 Count = Annotated[int, msgspec.Meta(ge=1, le=20_000)]
 Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
@@ -118,15 +118,15 @@
     if len(rest) == 2:
         rows = [row[rest[0]] for row in rows if rest[0] in row]
     if not rest or len(rest) > 2 or not rows:
-        raise BadFile(f"--set {path}: no such block; expected BLOCK.FIELD=VALUE or BLOCK.LABEL.FIELD=VALUE")
+        raise HclFileError(f"--set {path}: no such block; expected BLOCK.FIELD=VALUE or BLOCK.LABEL.FIELD=VALUE")
     number = float(text) if text.replace(".", "", 1).lstrip("-").isdigit() else None
     for row in rows:
         row[rest[-1]] = text if number is None else int(number) if number.is_integer() and "." not in text else number
 
 
 def read(path: str, changes: dict[str, str] | None = None) -> Experiment:
-    """Raises BadFile."""
-    file = File(path)
+    """Raises HclFileError."""
+    file = HclFile(path)
     file.only("cluster", "state", "type", "team", "jobs", "trouble")
     for where, text in (changes or {}).items():
         _set(file.values, where, text)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -8,7 +8,7 @@
 from lab.__main__ import UNUSABLE, figure, main
 from lab.experiment import read
 from lab.play import play
-from tidebend.hcl import BadFile
+from tidebend.hcl import HclFileError
 
 SMALL = """cluster {
   zones = 2
@@ -92,7 +92,7 @@
 def test_a_wrong_experiment_is_refused_with_line_and_field(small, right, wrong, expected):
     small.write_text(SMALL.replace(right, wrong))
     line = SMALL[: SMALL.index(right)].count("\n") + 1
-    with pytest.raises(BadFile, match=expected) as refused:
+    with pytest.raises(HclFileError, match=expected) as refused:
         read(str(small))
     assert f"small.hcl:{line}:" in str(refused.value)
 
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -5,8 +5,9 @@
 import time
 
 from tidebend.autoscaling import Capacity, Offer, to_rent
+from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import Allocation, Job
+from tidebend.cluster_state.job_records import Job
 from tidebend.controller.autoscaling.leadership import Leadership
 from tidebend.controller.autoscaling.machine_inventory import MachineInventory
 from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
--- a/tidebend/hcl.py
+++ b/tidebend/hcl.py
@@ -82,7 +82,7 @@
         return HclFileError(f"{self.path}:{self.line(where)}: {'.'.join(where)}: {text}")
 
     def check(self, values: Any, kind: type[T], where: tuple[str, ...] = ()) -> T:
-        """Values from this file as a checked structure; raises BadFile."""
+        """Values from this file as a checked structure; raises HclFileError."""
         try:
             return msgspec.convert(values, kind, strict=True)
         except msgspec.ValidationError as error:
