--- a/lab/search.py
+++ b/lab/search.py
@@ -19,7 +19,8 @@
 from lab.world import World
 from tidebend.cluster_state.machine_registry import Machine
 from tidebend.controller.api.job_api import JobApi
-from tidebend.controller.records.completions import CompletionTracker, ProvenCompletions
+from tidebend.controller.records.completion_tracker import CompletionTracker
+from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.controller.scheduler.pending_jobs import PendingJobs
 from tidebend.coordination import shard_of
 from tidebend.kvclient import LIVE, WatchCache
@@ -483,7 +484,7 @@
 @_fault
 def late_report():
     """What a report doesn't show is gone, also if the report is older than the claim."""
-    with mock.patch.object(CompletionTracker, "_absent", lambda self, machine, job, key: True):
+    with mock.patch.object(CompletionTracker, "_cannot_run_anymore", lambda self, machine, job, key: True):
         yield
 
 
@@ -517,7 +518,7 @@
                 machine = self.machine_registry.machines.get(claim.machine)
                 grant = grants.get(shard_of(claim.zone))
                 if grant is not None and (machine is None or machine.last_heartbeat < grant.held_since):
-                    end = self.proven.setdefault(job.id, ProvenCompletions())
+                    end = self.unrecorded.setdefault(job.id, UnrecordedCompletions())
                     end.ended[claim.machine, claim.session, claim.attempt] = claim.tasks
                     end.grants.add(grant)
 
@@ -528,7 +529,7 @@
 @_fault
 def earlier_session():
     """A report of an earlier session, too, is evidence of what runs."""
-    apply_heartbeat, ends_on = Machine.apply_heartbeat, CompletionTracker._ends_on
+    apply_heartbeat, ends_on = Machine.apply_heartbeat, CompletionTracker._reconcile_machine
 
     def hears_any(self, report, now, direct):
         if report.session < self.session:
@@ -539,13 +540,13 @@
         ends_on(self, machine, grant, ends)
         for job, claim in self.job_cache.on_machine(machine.name):
             if claim.session != machine.session:
-                end = ends.setdefault(job.id, ProvenCompletions())
+                end = ends.setdefault(job.id, UnrecordedCompletions())
                 end.ended[claim.machine, claim.session, claim.attempt] = claim.tasks
                 end.grants.add(grant)
 
     with (
         mock.patch.object(Machine, "apply_heartbeat", hears_any),
-        mock.patch.object(CompletionTracker, "_ends_on", any_ends),
+        mock.patch.object(CompletionTracker, "_reconcile_machine", any_ends),
     ):
         yield
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -16,9 +16,9 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import Machine, commands_for
 from tidebend.cluster_state.record_chunks import ChunkIndex
-from tidebend.controller.records.completions import ProvenCompletions
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
+from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.coordination import shard_of
 from tidebend.kvclient import OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
@@ -165,7 +165,7 @@
     machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False)}
     machine.needs_reconciliation, confirmed = True, machine.token
     machine.token = confirmed - 1
-    first.planner.completions.gather_s = 0.0
+    first.planner.completions.recorder.gather_s = 0.0
     first.planner.mapping_event()
     assert first.job_cache.get("a").allocations
     machine.token = confirmed
@@ -284,9 +284,9 @@
     everything = job.places(places)
     done = job.claimed & int("01" * 50_000, 2)
     while first.job_cache.get("a").allocations:
-        ended = ProvenCompletions(everything, done)
+        ended = UnrecordedCompletions(everything, done)
         assert first.job_writer.change(
-            "a", lambda job, _, ended=ended: first.planner.completions.job_without(job, _, ended), {}
+            "a", lambda job, _, ended=ended: first.planner.completions.job_with_completions(job, _, ended), {}
         )
     after = first.job_cache.get("a")
     assert (after.done, after.charged, after.started) == (done, job.charged, job.started)
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -143,7 +143,10 @@
                 len(controller.planner.claim_stagger._since) < 3
                 and len(controller.planner.allocator.last_allocation) < 3
             )
-            assert len(controller.rentals._cancelled) < 3 and len(controller.planner.completions._since) < 3
+            assert (
+                len(controller.rentals._cancelled) < 3
+                and len(controller.planner.completions.recorder._waiting_since) < 3
+            )
         late = [after for _, after in starts_after_cancellation(world.log)]
         assert len(late) <= 0.02 * asked and max(late, default=0.0) < 2.0, late
         assert world.now - began > 200.0
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -13,7 +13,7 @@
 from tests.test_scenarios import JOB
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.controller.records.completions import RetryBackoff
+from tidebend.controller.records.retry_backoff import RetryBackoff
 from tidebend.protocol import TaskReport, parse_job
 
 ZONES = ["north", "south", "west"]
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -32,8 +32,6 @@
 LATER = {"Retry-After": "1"}
 # each cause of 503 is logged no more often than this
 SAID_AGAIN_S = 10.0
-# a poll looks up at most so many jobs that are long over before it is answered; others find theirs looked up then
-MOST_LOOKUPS = 4
 # the names of what a job waits for take no more than this share of its record
 AWAITS_SHARE = 0.35
 
@@ -68,6 +66,7 @@
         schema_version: SchemaVersion,
         types: Callable[[], dict[str, MachineType]],
         wake: Callable[[], None],
+        look_up_finals: Callable[[list[str], str], None],
     ) -> None:
         self.settings = settings
         self.state = state
@@ -77,6 +76,7 @@
         self.schema_version = schema_version
         self.types = types
         self.wake = wake
+        self._look_up_finals = look_up_finals
         # users wait 2 s for an answer to a poll
         self.read_s = min(1.2, 2 * state.timeout)
 
@@ -102,7 +102,7 @@
         if self.job_cache.final(name) is None:
             if not self.cache.loaded.is_set() or not self.cache.barrier(self.read_s):
                 raise NotExecutedError("no state read")
-            self.look_up_finals(self.job_cache.unresolved(name), "poll")
+            self._look_up_finals(self.job_cache.unresolved(name), "poll")
         known = self._known(name)
         if known is None:
             value, _ = self.state.get(FINAL + name)
@@ -116,19 +116,6 @@
         """What was once accepted is never refused, whatever a repeat's body says and whatever is known by now."""
         return self.find(name) or Reply(status, {"error": text})
 
-    def look_up_finals(self, names: list[str], kind: str) -> None:
-        """Learn how jobs ended that others wait for.
-
-        Guards against an older answer after a restart: a job is cancelled with what it waits for, and that may be
-        long over, so that only its final record tells.
-        """
-        for name in names[:MOST_LOOKUPS]:
-            value, _ = self.state.get(FINAL + name, kind)
-            if value is not None:
-                self.job_cache.remember_final(name, value)
-        if len(names) > MOST_LOOKUPS:
-            raise NotExecutedError("there is more to look up")
-
     def _undecidable(self, spec: JobSpec) -> str | None:
         """Why a job can never run, if it can't."""
         team = self.settings.teams.get(spec.team)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -18,6 +18,7 @@
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.autoscaling.rentals import Rentals
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.records.final_lookup import FinalRecordLookup
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import RecordLimits
 from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
@@ -68,6 +69,8 @@
         )
         self.record_limits = RecordLimits(settings.state_limits, self.schema_version, self.state.writes_per_s)
         self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
+        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
+        self.final_lookup = FinalRecordLookup(self.state, self.job_cache)
         self.planner = SchedulingLoop(
             settings,
             self.coordinator,
@@ -77,13 +80,13 @@
             self.quota_rebalancer,
             self._types,
             self.command_dispatcher.send,
+            self.peer_exchange.is_crash_looping,
+            self.final_lookup.look_up,
         )
-        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
         self.command_dispatcher.coordinator, self.command_dispatcher.peer_exchange = (
             self.coordinator,
             self.peer_exchange,
         )
-        self.planner.completions.peers_crash_looping = self.peer_exchange.is_crash_looping
         self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
         self.zone_probe = ZoneProbe(settings, self.coordinator, self.peer_exchange, self.machine_registry, connect)
         self.rentals = Rentals(
@@ -106,8 +109,8 @@
             self.schema_version,
             self._types,
             self.planner.wake,
+            self.final_lookup.look_up,
         )
-        self.planner.look_up_finals = self.job_api.look_up_finals
         self.heartbeats = HeartbeatHandler(
             settings,
             self.cache,
--- /dev/null
+++ b/tidebend/controller/records/completion_recorder.py
@@ -0,0 +1,150 @@
+"""Writes confirmed completions to the job records, several at a time."""
+
+from __future__ import annotations
+
+import logging
+import time
+from functools import partial
+from typing import NamedTuple
+
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.job_records import Job
+from tidebend.controller.records.job_writer import JobEdit, JobWriter
+from tidebend.controller.records.record_limits import packed_bytes
+from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
+from tidebend.coordination import Coordinator, shard_of
+from tidebend.protocol import JobSpec
+from tidebend.quota import Amounts, TeamUsage
+from tidebend.settings import Settings
+
+log = logging.getLogger("planner")
+
+# the share of our writes to the state service that completions which aren't urgent may take, about
+COMPLETIONS_WRITE_SHARE = 0.25
+# the least time between two allocations of an array's successive tasks, as a share of the gathering time
+ALLOCATION_PAUSE_SHARE = 0.5
+
+
+class CompletionEdit(NamedTuple):
+    """An edit that records completions, and what of the team's limit becomes available by it."""
+
+    freed: Amounts
+    edit: JobEdit
+
+
+class CompletionRecorder:
+    """Delays completions for a moment so that one write records several, and decides when the delay is over.
+
+    The capacity of ended tasks is available for planning at once, since it is planned from heartbeats: only the records
+    wait. `gather_s` is the shortest delay, `allocation_pause_s` the least time between two allocations of an array
+    whose tasks follow one another as capacity becomes free, since each allocation costs a write.
+    """
+
+    def __init__(
+        self, settings: Settings, coordinator: Coordinator, job_cache: JobCache, job_writer: JobWriter
+    ) -> None:
+        """Take the delays from the settings' `gather` knob, in workers' leases."""
+        self._settings = settings
+        self._coordinator = coordinator
+        self._job_cache = job_cache
+        self._job_writer = job_writer
+        self._waiting_since: dict[str, float] = {}  # job -> steady time since which its completions wait
+        self.gather_s = settings.knobs.gather * settings.lease_s
+        self.allocation_pause_s = ALLOCATION_PAUSE_SHARE * self.gather_s
+
+    def forget_except(self, unrecorded: dict[str, UnrecordedCompletions]) -> None:
+        """Drop the waiting times of jobs without unrecorded completions."""
+        for job_id in [job_id for job_id in self._waiting_since if job_id not in unrecorded]:
+            del self._waiting_since[job_id]
+
+    def mark_recorded(self, job_id: str) -> None:
+        """Drop a job's waiting time: its completions have been recorded."""
+        self._waiting_since.pop(job_id, None)
+
+    def edits_for_team(self, team: str, unrecorded: dict[str, UnrecordedCompletions]) -> list[CompletionEdit]:
+        """Return the edits that record the completions of a team's jobs, those that free the most first.
+
+        They are written ahead of the team's next allocation, in the same transaction if it has room: a team that waits
+        at its limit must not wait as well for completions to be gathered.
+        """
+        found = []
+        for job_id, completions in unrecorded.items():
+            job = self._job_cache.get(job_id)
+            if job is not None and job.spec.team == team and completions.ended:
+                found.append(CompletionEdit(completions.amounts(job.spec), self._edit(job_id, completions)))
+        return sorted(found, key=lambda row: (-row.freed[0], -row.freed[1], row.edit.job))
+
+    def record(self, unrecorded: dict[str, UnrecordedCompletions]) -> None:
+        """Write the completions that have been gathered for long enough, and the urgent ones.
+
+        Urgent are those of jobs other than arrays, the last ones of a job in our shards, and those of a team that has
+        reached its limit. The others are also written together with the job's next allocation. Raises
+        `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.change_all` does.
+        """
+        now = time.monotonic()
+        gather_s = self._gather_s_for(len(unrecorded))
+        edits = []
+        for job_id, completions in unrecorded.items():
+            job = self._job_cache.get(job_id)
+            if job is None:
+                continue
+            waited_s = now - self._waiting_since.setdefault(job_id, now)
+            if self._must_be_recorded(job, completions, waited_s, gather_s):
+                edits.append(self._edit(job_id, completions))
+        if edits:
+            recorded = self._job_writer.change_all(edits)
+            for job_id in recorded:
+                self.mark_recorded(job_id)
+            log.debug("ends recorded for %s", ", ".join(recorded))
+
+    def conditions(self, completions: UnrecordedCompletions) -> dict[str, int]:
+        """Return the conditions that the shards from whose heartbeats the completions are known are still ours."""
+        return dict(self._coordinator.condition(grant) for grant in completions.grants)
+
+    def apply(self, job: Job, _: TeamUsage, completions: UnrecordedCompletions) -> Job:
+        """Return the job with the completions, in a form that its record can hold."""
+        new = job.without(completions.ended, completions.done)
+        if (
+            completions.done
+            and not job.chunks
+            and not self._job_writer.record_limits.fits(new)
+            and not (new.complete or new.cancelled)
+        ):
+            # The indexes of the done tasks may be too scattered for a record. The platform keeps results, so a task
+            # that isn't recorded as done and is started again is done at once.
+            without_done = job.without(completions.ended, 0)
+            return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.value_bytes else without_done
+        return new
+
+    def _edit(self, job_id: str, completions: UnrecordedCompletions) -> JobEdit:
+        return JobEdit(job_id, partial(self.apply, completions=completions), self.conditions(completions))
+
+    def _gather_s_for(self, jobs: int) -> float:
+        """Return the gathering time with completions of `jobs` jobs: longer with more, to leave writes for others."""
+        writes_per_s = COMPLETIONS_WRITE_SHARE * self._job_writer.cache.state.writes_per_s
+        return max(self.gather_s, min(self._settings.lease_s, jobs / writes_per_s))
+
+    def _must_be_recorded(self, job: Job, completions: UnrecordedCompletions, waited_s: float, gather_s: float) -> bool:
+        return (
+            job.spec.kind != "array"
+            or waited_s >= gather_s
+            or self._are_last_of_job(job, completions)
+            or (waited_s >= self.allocation_pause_s and self._is_at_limit(job.spec))
+        )
+
+    def _are_last_of_job(self, job: Job, completions: UnrecordedCompletions) -> bool:
+        """Whether nothing of the job remains in our shards once these completions are recorded."""
+        if job.cancelled or job.done | completions.done == job.all_tasks:
+            return True
+        our_shards = {grant.shard for grant in self._coordinator.grants()}
+        return not job.pending and not any(
+            allocation.tasks & ~completions.ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
+            for allocation in job.allocations
+            if shard_of(allocation.zone) in our_shards
+        )
+
+    def _is_at_limit(self, spec: JobSpec) -> bool:
+        """Whether the team's limit has no room for another task of this size."""
+        team = self._settings.teams.get(spec.team)
+        usage = self._job_cache.team(spec.team, self._coordinator.held_zones())
+        return team is not None and not team.allows(usage.cpus + spec.cpus, usage.gpus + spec.gpus)
--- /dev/null
+++ b/tidebend/controller/records/completion_tracker.py
@@ -0,0 +1,206 @@
+"""Finds completions of tasks by comparing allocations with the workers' heartbeats."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from tidebend.cluster_state.allocations import Allocation
+from tidebend.cluster_state.job_cache import JobCache
+from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.task_bitmap import members
+from tidebend.controller.records.completion_recorder import CompletionEdit, CompletionRecorder
+from tidebend.controller.records.job_writer import JobWriter
+from tidebend.controller.records.retry_backoff import RetryBackoff, RetryBackoffs
+from tidebend.controller.records.task_outcomes import TaskOutcomeObserver
+from tidebend.controller.records.uncertain_starts import UncertainStartResolver
+from tidebend.controller.records.unrecorded_completions import TaskKey, UnrecordedCompletions
+from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
+from tidebend.coordination import Coordinator, ShardGrant, shard_of
+from tidebend.quota import Amounts, TeamUsage
+from tidebend.settings import Settings
+
+
+class CompletionTracker:
+    """The completions in our shards that aren't recorded yet, and what follows from them for the scheduler.
+
+    `collect` is called at each mapping event, before planning; `record_completions` after it.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        coordinator: Coordinator,
+        job_cache: JobCache,
+        machine_registry: MachineRegistry,
+        job_writer: JobWriter,
+        estimates: RunTimeEstimates,
+        send: Callable[[set[str]], None],
+        peers_crash_looping: Callable[[], frozenset[str]],
+    ) -> None:
+        """`send` sends the pending commands of some machines directly to their workers.
+
+        `peers_crash_looping` returns the jobs that other controllers report as crash looping.
+        """
+        self.coordinator = coordinator
+        self.job_cache = job_cache
+        self.machine_registry = machine_registry
+        self._send = send
+        self.recorder = CompletionRecorder(settings, coordinator, job_cache, job_writer)
+        self._retry_backoffs = RetryBackoffs(settings, job_cache, machine_registry, peers_crash_looping)
+        self._outcomes = TaskOutcomeObserver(estimates, self._retry_backoffs)
+        self._uncertain_starts = UncertainStartResolver(settings, coordinator, machine_registry)
+        self.unrecorded: dict[str, UnrecordedCompletions] = {}  # by job
+        self.freed: dict[str, Amounts] = {}  # team -> what of its limit the unrecorded completions make available
+
+    @property
+    def backoffs(self) -> dict[str, RetryBackoff]:
+        """The backoffs of jobs with failures, by job."""
+        return self._retry_backoffs.by_job
+
+    @property
+    def allocation_pause_s(self) -> float:
+        """The least time in seconds between two allocations of an array's successive tasks."""
+        return self.recorder.allocation_pause_s
+
+    def collect(self) -> None:
+        """Find the completions that are confirmed by heartbeats of workers that have confirmed our fencing token.
+
+        Also sends the stops of cancelled jobs, and replaces `unrecorded` and `freed`.
+        """
+        found: dict[str, UnrecordedCompletions] = {}
+        for grant in self.coordinator.grants():
+            for machine in self.machine_registry.all():
+                if machine.needs_reconciliation and shard_of(machine.zone) == grant.shard:
+                    self._reconcile_machine(machine, grant, found)
+        machines_to_stop = self._add_jobs_without_final_record(found)
+        self._send(machines_to_stop)
+        self._retry_backoffs.forget_finished_jobs()
+        self._uncertain_starts.resolve()
+        self.unrecorded = found
+        self.freed = self._freed_by_team(found)
+        self.recorder.forget_except(found)
+
+    def _add_jobs_without_final_record(self, found: dict[str, UnrecordedCompletions]) -> set[str]:
+        """Add the jobs that are over but for their final record; return the machines with tasks of cancelled jobs.
+
+        Such a job was cancelled with a job that it depends on. Only the leader writes its final record: if all
+        controllers tried, all but one would fail.
+        """
+        machines_to_stop: set[str] = set()
+        is_leader = self.coordinator.term is not None
+        for job in self.job_cache.live():
+            if job.cancelled:
+                machines_to_stop.update(allocation.machine for allocation in job.allocations)
+            if is_leader and not job.allocations and (job.cancelled or job.complete):
+                found.setdefault(job.id, UnrecordedCompletions())
+        return machines_to_stop
+
+    def _freed_by_team(self, completions_by_job: dict[str, UnrecordedCompletions]) -> dict[str, Amounts]:
+        freed: dict[str, Amounts] = {}
+        for job_id, completions in completions_by_job.items():
+            job = self.job_cache.get(job_id)
+            if job is not None:
+                cpus, gpus = completions.amounts(job.spec)
+                before = freed.get(job.spec.team, (0.0, 0.0))
+                freed[job.spec.team] = (before[0] + cpus, before[1] + gpus)
+        return freed
+
+    def _reconcile_machine(self, machine: Machine, grant: ShardGrant, found: dict[str, UnrecordedCompletions]) -> None:
+        """Compare a machine's allocations with its last heartbeat, and add what has ended to `found`."""
+        now = time.monotonic()
+        with self.machine_registry.lock:
+            if machine.token != grant.token:
+                return
+            machine.needs_reconciliation = False
+            for job, allocation in self.job_cache.on_machine(machine.name):
+                ended, done = self._ended_tasks(machine, job, allocation, now)
+                if not ended:
+                    continue
+                machine.needs_reconciliation = True  # until the completions are recorded
+                completions = found.setdefault(job.id, UnrecordedCompletions())
+                key = (allocation.machine, allocation.session, allocation.attempt)
+                completions.ended[key] = completions.ended.get(key, 0) | ended
+                if done and job.spec.kind == "gang":
+                    done = job.all_tasks  # a gang's tasks complete together
+                completions.done |= done
+                completions.grants.add(grant)
+
+    def _ended_tasks(self, machine: Machine, job: Job, allocation: Allocation, now: float) -> tuple[int, int]:
+        """Return the bitmaps of an allocation's tasks that have ended, and of those of them that are done."""
+        if allocation.session < machine.session:
+            return allocation.tasks, 0  # at the start of a later session the worker killed and forgot all tasks
+        if allocation.session > machine.session:
+            return 0, 0
+        ended = done = 0
+        for index in members(allocation.tasks):
+            key = (job.id, index, allocation.attempt)
+            task = machine.tasks.get(key)
+            if task is None:
+                if self._cannot_run_anymore(machine, job, key):
+                    ended |= 1 << index
+            elif task.state == "ended":
+                ended |= 1 << index
+                if task.why == "done":
+                    done |= 1 << index
+                self._outcomes.observe(machine, job, key, task.why, now)
+        return ended, done
+
+    def _cannot_run_anymore(self, machine: Machine, job: Job, key: TaskKey) -> bool:
+        """Whether a task that isn't in the heartbeat, and that is to be stopped, can't be started any more.
+
+        Starts by earlier holders of the shard carry lower tokens than the one that the worker has confirmed.
+        """
+        return (job.cancelled or key in machine.stops) and machine.can_no_longer_start(key)
+
+    def record_completions(self) -> None:
+        """Write the completions that have been gathered for long enough, and the urgent ones.
+
+        Raises `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.change_all` does.
+        """
+        self.recorder.record(self.unrecorded)
+
+    def recorded_with_allocation(self, job_id: str) -> None:
+        """Note that a job's completions were recorded in the transaction of its next allocation."""
+        self.recorder.mark_recorded(job_id)
+        self.unrecorded.pop(job_id, None)
+
+    def edits_for_team(self, team: str) -> list[CompletionEdit]:
+        """Return the edits that record a team's completions, those that free the most of its limit first."""
+        return self.recorder.edits_for_team(team, self.unrecorded)
+
+    def conditions(self, completions: UnrecordedCompletions) -> dict[str, int]:
+        """Return the conditions that the shards from whose heartbeats the completions are known are still ours."""
+        return self.recorder.conditions(completions)
+
+    def job_with_completions(self, job: Job, usage: TeamUsage, completions: UnrecordedCompletions) -> Job:
+        """Return the job with the completions, in a form that its record can hold."""
+        return self.recorder.apply(job, usage, completions)
+
+    def is_crash_looping(self, job: Job, now: float) -> bool:
+        """Whether the job itself seems to be faulty, rather than the machines on which it failed."""
+        return self._retry_backoffs.is_crash_looping(job, now)
+
+    def machines_to_avoid(self, job: Job, now: float) -> frozenset[str]:
+        """Return the machines on which a crash-looping job failed lately."""
+        return self._retry_backoffs.machines_to_avoid(job, now)
+
+    def crash_looping_jobs(self) -> list[str]:
+        """Return the jobs to report to the other controllers as crash looping."""
+        return self._retry_backoffs.crash_looping_jobs()
+
+    # Former names, until the scheduler's modules use the present ones.
+
+    @property
+    def proven(self) -> dict[str, UnrecordedCompletions]:
+        """Former name of `unrecorded`."""
+        return self.unrecorded
+
+    edits_of_team = edits_for_team
+    record_due = record_completions
+    avoided = machines_to_avoid
+
+    def job_without(self, job: Job, usage: TeamUsage, end: UnrecordedCompletions) -> Job:
+        """Former name of `job_with_completions`."""
+        return self.job_with_completions(job, usage, end)
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -13,7 +13,7 @@
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.controller.quota.quota_release import QuotaReleaser
-from tidebend.controller.records.completions import CompletionTracker
+from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.scheduler.allocator import Allocator
 from tidebend.controller.scheduler.free_capacity import FreeCapacity
@@ -45,6 +45,8 @@
         quota_rebalancer: QuotaRebalancer,
         types: Callable[[], dict[str, MachineType]],
         send: Callable[[set[str]], None],
+        peers_crash_looping: Callable[[], frozenset[str]],
+        look_up_finals: Callable[[list[str], str], None],
     ) -> None:
         self.settings = settings
         self.coordinator = coordinator
@@ -53,7 +55,7 @@
         self.send = send
         self.estimates = RunTimeEstimates()
         self.completions = CompletionTracker(
-            settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send
+            settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send, peers_crash_looping
         )
         self.free_capacity = FreeCapacity(settings, coordinator, job_cache, machine_registry, types, self.estimates)
         self.pending_jobs = PendingJobs(
@@ -64,7 +66,7 @@
         self.quota_releaser = QuotaReleaser(settings, job_cache, quota_rebalancer, self.completions)
         self.preemptor = Preemptor(settings, coordinator, job_cache, machine_registry, self.claim_stagger, send)
         self.event = threading.Event()
-        self.look_up_finals: Callable[[list[str], str], None] = lambda names, kind: None
+        self._look_up_finals = look_up_finals
         self._rest_until = 0.0  # steady time
 
     def start(self) -> None:
@@ -97,7 +99,7 @@
         unresolved = self.job_cache.unresolved()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
-                self.look_up_finals(unresolved, "claim")
+                self._look_up_finals(unresolved, "claim")
         self.completions.collect()
         if self.coordinator.term is not None:
             with contextlib.suppress(ConflictError):
@@ -109,7 +111,7 @@
                 ended = time.monotonic()
                 self._rest_until = ended + min(REST * (ended - began), 0.2 * self.settings.lease_s)
         finally:
-            self.completions.record_due()
+            self.completions.record_completions()
 
     def plan(self) -> None:
         now, clock = time.monotonic(), time.time()
