--- a/lab/model.py
+++ b/lab/model.py
@@ -164,11 +164,13 @@
         usage = self.team(TEAM, held)
         if not self.model.team.allows(usage.cpus + 1.0, usage.gpus):
             return
-        made = self.shares.for_allocation(TEAM, usage.shares, {}, None, {zone: (1.0, 0.0)}, held)
+        made = self.shares.change_for_allocation(
+            TEAM, usage.shares, already_added={}, already_written=None, added={zone: (1.0, 0.0)}, held_zones=held
+        )
         if made is None:
             return
         try:
-            self.write({key: version, **made[0], **dict([held[zone]])}, [(key, value + 1, None), *made[1]])
+            self.write({key: version, **made.conditions, **dict([held[zone]])}, [(key, value + 1, None), *made.writes])
         except OutcomeUnknownError:
             self.shares.mark_uncertain({TEAM})
 
@@ -179,7 +181,7 @@
             self.write({key: version, **dict([held[zone]])}, [(key, value - 1, None)])
 
     def release_shares(self) -> None:
-        self.shares.release_shares(TEAM)
+        self.shares.release_unused(TEAM)
 
 
 def apply(items: dict[str, Item], transaction: Pending) -> bool:
@@ -239,7 +241,7 @@
             except (ConflictError, NotExecutedError, OutcomeUnknownError) as error:
                 text += f" ({type(error).__name__}: {error})"
             caches, doubts = list(state.caches), list(state.doubts)
-            caches[number], doubts[number] = self._rows(holder.cache), bool(holder.shares._doubtful)
+            caches[number], doubts[number] = self._rows(holder.cache), bool(holder.shares._uncertain_teams)
             return text, self.canonical(
                 State(self._rows(holder.items), tuple(caches), tuple(doubts), tuple(holder.pending), state.moved)
             )
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -267,7 +267,7 @@
 def test_a_record_that_is_full_becomes_a_head_with_parts_of_bounded_size(world):
     """As production wrote it and larger than may now be written: parts first, each step in few changes."""
     first, second = stale_pair(world, a=spec(pieces=100_000, vcpus=0.0, memoryGb=0.0))
-    first.record_limits.value_bytes, first.record_limits.most_writes = 600, 4
+    first.record_limits.max_value_bytes, first.record_limits.max_writes = 600, 4
     largest, whole = [], world.state.transact
     world.state.transact = lambda body: (
         largest.append((len(body["writes"]), max(packed_bytes(row.get("v")) for row in body["writes"]))),
@@ -302,7 +302,7 @@
 def test_a_job_whose_description_alone_is_too_long_by_now_keeps_no_other_from_being_claimed(world):
     long = spec(pieces=3, hulls=[f"a-long-name-{n:04d}" for n in range(99)])
     first, _ = stale_pair(world, a=long, b=spec())
-    world.state.limits["value_kb"], first.record_limits.value_bytes = 1.0, 1024
+    world.state.limits["value_kb"], first.record_limits.max_value_bytes = 1.0, 1024
 
     def edit(job, usage):
         return job.with_claims([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
@@ -410,7 +410,7 @@
     # what the other zone took ahead is not to be had, until its holder gives it back
     first.cache.catch_up(0.0, "claim")
     assert claim_in(first, "north", "a", 0b1110000) is None
-    assert second.quota_rebalancer.release_shares("team") and not second.quota_rebalancer.release_shares("team")
+    assert second.quota_rebalancer.release_unused("team") and not second.quota_rebalancer.release_unused("team")
     first.cache.catch_up(0.0, "claim")
     assert claim_in(first, "north", "a", 0b1110000) is not None
     assert first.job_cache.used("team") == (8.0, 0.0)
@@ -433,7 +433,7 @@
     second.cache.catch_up(0.0, "claim")
     old_world.state.transact({"if": [], "writes": [{"put": "tidebend/live/format", "v": {"version": 2}}]})
     first.cache.catch_up(0.0, "claim")
-    first.quota_rebalancer.establish_shares()
+    first.quota_rebalancer.establish_quotas()
     assert first.job_cache.team("team").shares.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
     assert second.job_cache.team("team").shares is None
     assert allocation(second, "b", "vm-000001", 1) is not None  # by the shares, that it learns of by the conflict
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -76,7 +76,7 @@
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
-        first.quota_rebalancer.release_shares("team")
+        first.quota_rebalancer.release_unused("team")
     assert claim_in(first, "north", "a", 0b10) is not None
     assert world.state.transact(late[0])[0] == 409
     assert world.state.items["tidebend/live/quota/team"][0]["north"][0] >= 2.0
@@ -103,7 +103,7 @@
     for controller in (first, second):
         controller.settings.teams["team"] = replace(controller.settings.teams["team"], cpus_max=8.0)
         controller.cache.catch_up(0.0, "claim")
-    first.quota_rebalancer.establish_shares()  # the leader's
+    first.quota_rebalancer.establish_quotas()  # the leader's
     assert claim_in(second, "south", "b", 0b111) is None
     assert claim_in(second, "south", "b", 0b11) is not None
 
@@ -116,11 +116,11 @@
     value = {"north": [1.0, 0.0], "south": [2.0, 0.0]}  # five are free, and the gang takes six
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
     first.cache.catch_up(0.0, "claim")
-    assert quota_releaser._short([job]) == {"team"}
+    assert quota_releaser._teams_short_of_quota([job]) == {"team"}
     value["south"] = [1.0, 0.0]
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
     first.cache.catch_up(0.0, "claim")
-    assert quota_releaser._short([job]) == set()
+    assert quota_releaser._teams_short_of_quota([job]) == set()
 
 
 def started(placements, job):
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -149,12 +149,15 @@
             if dependencies and not self.schema_version.pipelines:
                 # a process of the version before would start it at once
                 return unavailable_reply("not all controllers know pipelines yet")
-            job = self.job_writer.record_limits.new_job(Job(name, 0, spec, came, dependencies=dependencies))
-            if dependencies and packed_bytes(dependencies) > AWAITS_SHARE * self.job_writer.record_limits.value_bytes:
+            job = self.job_writer.record_limits.in_recorded_form(Job(name, 0, spec, came, dependencies=dependencies))
+            if (
+                dependencies
+                and packed_bytes(dependencies) > AWAITS_SHARE * self.job_writer.record_limits.max_value_bytes
+            ):
                 return self._refused(name, 400, "awaits names more jobs than a record holds")
             never = (
                 self._undecidable(spec)
-                or (self.schema_version.pipelines and self.job_writer.record_limits.never_fits(job))
+                or (self.schema_version.pipelines and self.job_writer.record_limits.reason_never_fits(job))
                 or self._never_accepted(dependencies)
             )
             if never:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -129,7 +129,7 @@
         if key == FORMAT and self.schema_version.pipelines:
             # from now on the limits that are to come may be in force
             self.state.keep_within(self.settings.state_next)
-            self.record_limits.keep_within(self.settings.state_next, self.state.writes_per_s)
+            self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
             log.info("format %d is in force", self.schema_version.version)
         if key.startswith((JOB, HEAD, CHUNK, FINAL)):
             self.planner.wake()
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -1,10 +1,15 @@
-"""Shares of teams' limits as transactions carry them: raised by claims, lowered by holders, written anew in doubt."""
+"""Moves a team's limit among zones: quotas are raised by allocations and lowered by the holders of zones' shards.
+
+A team's limit is divided into one quota per zone, all in one record, as with escrow locking: the holder of a zone's
+shard may allocate within the zone's quota without regard to other zones. Together the quotas never exceed the limit.
+"""
 
 from __future__ import annotations
 
 import contextlib
 import logging
 from collections.abc import Callable
+from dataclasses import dataclass, field
 
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
@@ -15,138 +20,187 @@
 
 log = logging.getLogger("ledger")
 
+NOTHING: Amounts = (0.0, 0.0)
+
+# zone -> the condition (key and version) that its shard is still ours
+HeldZones = dict[str, tuple[str, int]]
+
+
+@dataclass(frozen=True)
+class QuotaChange:
+    """What a transaction has to contain so that its allocations keep the team's limit."""
+
+    conditions: dict[str, int] = field(default_factory=dict)
+    writes: list[Write] = field(default_factory=list)
+
 
 class QuotaRebalancer:
+    """Raises, releases and creates zone quotas, under conditions that make each change safe against all others."""
+
     def __init__(
         self,
         settings: Settings,
         cache: WatchCache,
         job_cache: JobCache,
         schema_version: SchemaVersion,
-        held: Callable[[], dict[str, tuple[str, int]]],
+        held_zones: Callable[[], HeldZones],
     ) -> None:
+        """`held_zones` returns the zones whose shards are ours."""
         self.settings = settings
         self.cache = cache
         self.job_cache = job_cache
         self.schema_version = schema_version
-        self.held = held  # the zones whose blocks are ours, with the conditions that they still are
-        self._doubtful: dict[str, object] = {}  # teams with claims that may be executed yet -> the last of them
+        self.held_zones = held_zones
+        # Teams with writes that may still be executed -> a token for the last of them.
+        self._uncertain_teams: dict[str, object] = {}
 
-    def for_allocation(
+    def change_for_allocation(
         self,
         team: str,
-        shares: ZoneQuotas,
-        batch: dict[tuple[str, str], Amounts],
-        written: Write | None,
+        quotas: ZoneQuotas,
+        *,
+        already_added: dict[tuple[str, str], Amounts],
+        already_written: Write | None,
         added: dict[str, Amounts],
-        held: dict[str, tuple[str, int]],
-    ) -> tuple[dict[str, int], list[Write]] | None:
-        """The conditions and writes under which a team may claim more; None if it may not.
+        held_zones: HeldZones,
+    ) -> QuotaChange | None:
+        """Return what allocations need so that they keep the team's limit; None if they would exceed it.
 
-        `batch`: what the transaction already claims more than it ends, by team and zone; `written`: what it already
-        writes of these shares.
+        `added` is what they take in each zone, `already_added` what the transaction takes by team and zone without
+        them, less what it ends; `already_written` is the transaction's write of these quotas, if it has one.
         """
         limit = self.settings.teams.get(team)
-        grown = [zone for zone, (cpus, gpus) in added.items() if cpus > 0 or gpus > 0]
-        if not grown or limit is None:
-            return {}, []
-        checks = {QUOTA + team: shares.version}
-        zones = {zone: tuple(row) for zone, row in written[1].items()} if written else dict(shares.zones)
+        grown_zones = [zone for zone, (cpus, gpus) in added.items() if cpus > 0 or gpus > 0]
+        if not grown_zones or limit is None:
+            return QuotaChange()
+        conditions = {QUOTA + team: quotas.version}
+        by_zone = _unpack_written(already_written) if already_written else dict(quotas.zones)
         needs = {}
-        for zone in {*grown, *held}:
+        for zone in {*grown_zones, *held_zones}:
             used = self.job_cache.used(team, (zone,))
-            for cpus, gpus in (batch.get((team, zone), (0.0, 0.0)), added.get(zone, (0.0, 0.0))):
-                used = (used[0] + cpus, used[1] + gpus)
-            needs[zone] = used
-        enough = raised(zones, needs, grown, limit, len(self.settings.zones))
-        if enough is None:
+            used = _plus(used, already_added.get((team, zone), NOTHING))
+            needs[zone] = _plus(used, added.get(zone, NOTHING))
+        sufficient = raised(by_zone, needs, grown_zones, limit, len(self.settings.zones))
+        if sufficient is None:
             return None
-        if enough is zones:
-            return checks, []
-        checks.update(dict(held.values()))
-        return checks, [(QUOTA + team, ZoneQuotas(0, enough).pack(), None)]
+        if sufficient is by_zone:
+            return QuotaChange(conditions)
+        conditions.update(dict(held_zones.values()))
+        return QuotaChange(conditions, [(QUOTA + team, ZoneQuotas(0, sufficient).pack(), None)])
 
     def mark_uncertain(self, teams: set[str]) -> None:
-        """Claims of these teams, or changes of their shares, got no answer: they may be executed yet."""
-        self._doubtful.update((team, object()) for team in teams)
+        """Note that writes of these teams' allocations or quotas got no answer, and may still be executed."""
+        self._uncertain_teams.update((team, object()) for team in teams)
 
     def settle_uncertain_claims(self, patience: float) -> None:
-        """A claim without an answer may be executed late, and only its team's shares bound what it takes; lowered
-        shares may come late on top of a claim.
+        """Make sure that no write without an answer can be executed any more, and learn which have been.
 
-        Writing them anew ends that: it was conditional on the shares as they were. What happened before is read.
+        An allocation that is executed late is bounded only by its zone's quota, and a quota may be lowered late below
+        an allocation made meanwhile. Both are conditional on the quotas' version, so writing the quotas anew, with
+        the same values, rules them out. Raises `NotExecutedError` if what happened before can't be read.
         """
-        if not self._doubtful:
+        if not self._uncertain_teams:
             return
-        doubts = dict(self._doubtful)
-        for team in sorted(doubts):
-            shares = self.job_cache.team(team).shares
-            if shares:
-                with contextlib.suppress(ConflictError):  # they have been written since: just as well
+        uncertain = dict(self._uncertain_teams)
+        for team in sorted(uncertain):
+            quotas = self.job_cache.team(team).shares
+            if quotas:
+                # a conflict means that the quotas have been written since, which serves as well
+                with contextlib.suppress(ConflictError):
                     self.cache.write(
-                        {QUOTA + team: shares.version}, [(QUOTA + team, shares.pack(), None)], patience=patience
+                        {QUOTA + team: quotas.version}, [(QUOTA + team, quotas.pack(), None)], patience=patience
                     )
         if not self.cache.barrier(self.cache.state.timeout, "claim"):
             raise NotExecutedError("no read after a claim without an answer")
-        for team, allocation in doubts.items():
-            if self._doubtful.get(team) is allocation:  # else there has been another meanwhile
-                del self._doubtful[team]
+        for team, last_write in uncertain.items():
+            if self._uncertain_teams.get(team) is last_write:  # otherwise there has been another one meanwhile
+                del self._uncertain_teams[team]
 
-    def establish_shares(self) -> None:
-        """Give teams shares instead of a common record, from what they use: once, when all can read them.
+    def establish_quotas(self) -> None:
+        """Replace the common records of teams by zone quotas, at what they use, once all controllers can read them.
 
-        Teams without a limit too: their claims then compare a record that never changes. Guards against holders that
-        collide over the common record of a team whose jobs are many and small, for nothing.
+        Teams without a limit get them too: their allocations are then conditional on a record that never changes,
+        while holders would collide over the common record of a team with many small jobs without any need.
+        Raises `ConflictError` and the other errors of `WatchCache.write`.
         """
         if not self.schema_version.pipelines:
             return
         for team in self.settings.teams.values():
             if self.job_cache.has_zone_quotas(team.name):
                 if team.cpus_max is not None or team.gpus_max is not None:
-                    self._catch_up(team)
+                    self._raise_to_usage(team)
                 continue
             with self.job_cache.lock:
                 usage = self.job_cache.team(team.name)
-                used = {zone: self.job_cache.used(team.name, (zone,)) for zone in self.settings.zones}
+                used = self._used_by_zone(team.name)
             self.cache.write(
                 {TEAM + team.name: usage.version, QUOTA + team.name: 0, FORMAT: self.cache.get(FORMAT)[1]},
                 [(TEAM + team.name, SPENT, None), (QUOTA + team.name, ZoneQuotas(0, used).pack(), None)],
             )
             log.info("team %s has shares of its limit in each zone from now on", team.name)
 
-    def _catch_up(self, limit: Team) -> None:
-        """Raise recorded shares to what is used: it can be more only where claims were made under another limit.
+    def _raise_to_usage(self, limit: Team) -> None:
+        """Raise the quotas to what is used, which exceeds them only where allocations were made under another limit.
 
-        Guards a limit that a team hasn't had before: what other zones use would count for less than it is.
+        A team that had no limit before has quotas below its usage: other zones' usage would be counted too low.
         """
         with self.job_cache.lock:
-            shares = self.job_cache.team(limit.name).shares
-            used = {zone: self.job_cache.used(limit.name, (zone,)) for zone in self.settings.zones}
-        if shares is None or all(within(row, shares.zones.get(zone, (0.0, 0.0)), limit) for zone, row in used.items()):
+            quotas = self.job_cache.team(limit.name).shares
+            used = self._used_by_zone(limit.name)
+        if quotas is None or all(
+            within(amounts, quotas.zones.get(zone, NOTHING), limit) for zone, amounts in used.items()
+        ):
             return
-        most = {
-            zone: tuple(map(max, shares.zones.get(zone, (0.0, 0.0)), used.get(zone, (0.0, 0.0))))
-            for zone in shares.zones.keys() | used.keys()
+        sufficient = {
+            zone: _larger(quotas.zones.get(zone, NOTHING), used.get(zone, NOTHING))
+            for zone in quotas.zones.keys() | used.keys()
         }
-        self.cache.write({QUOTA + limit.name: shares.version}, [(QUOTA + limit.name, ZoneQuotas(0, most).pack(), None)])
+        self.cache.write(
+            {QUOTA + limit.name: quotas.version},
+            [(QUOTA + limit.name, ZoneQuotas(0, sufficient).pack(), None)],
+        )
         log.info("team %s uses more than its shares: they are raised to it", limit.name)
 
-    def release_shares(self, team: str) -> bool:
-        """Lower a team's shares in our zones to what is used there; True if that gave others more room."""
-        held = self.held()
-        shares = self.job_cache.team(team).shares
-        if shares is None or team in self._doubtful:
+    def release_unused(self, team: str) -> bool:
+        """Lower a team's quotas in our zones to what is used there; True if that gave other zones more room.
+
+        Raises `ConflictError` and the other errors of `WatchCache.write`.
+        """
+        held_zones = self.held_zones()
+        quotas = self.job_cache.team(team).shares
+        if quotas is None or team in self._uncertain_teams:
             return False
-        lower = lowered(shares, {zone: self.job_cache.used(team, (zone,)) for zone in held})
+        lower = lowered(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
         if lower is None:
             return False
         try:
             self.cache.write(
-                {QUOTA + team: shares.version, **dict(held.values())}, [(QUOTA + team, lower.pack(), None)]
+                {QUOTA + team: quotas.version, **dict(held_zones.values())}, [(QUOTA + team, lower.pack(), None)]
             )
         except OutcomeUnknownError:
-            # Guards against overshoot: a claim within the share as we know it doesn't write the shares, so that this
-            # would still be executed after it, and others would take what the claim uses.
+            # An allocation within the quota that we know doesn't write the quotas, so this write could be executed
+            # after it, and other zones would use what the allocation uses: the limit would be exceeded.
             self.mark_uncertain({team})
             raise
         return True
+
+    # Former names, until the scheduler's modules use the present ones.
+
+    establish_shares = establish_quotas
+    release_shares = release_unused
+
+    def _used_by_zone(self, team: str) -> dict[str, Amounts]:
+        return {zone: self.job_cache.used(team, (zone,)) for zone in self.settings.zones}
+
+
+def _unpack_written(write: Write) -> dict[str, Amounts]:
+    """Return the quotas by zone of a write of them."""
+    return {zone: (amounts[0], amounts[1]) for zone, amounts in write[1].items()}
+
+
+def _plus(one: Amounts, other: Amounts) -> Amounts:
+    return one[0] + other[0], one[1] + other[1]
+
+
+def _larger(one: Amounts, other: Amounts) -> Amounts:
+    return max(one[0], other[0]), max(one[1], other[1])
--- a/tidebend/controller/quota/quota_release.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -1,4 +1,4 @@
-"""Shares of a team's limit go back when work of the team waits that finds no room in what is free of it."""
+"""Releases unused zone quotas when a team's waiting jobs need more of the limit than is free."""
 
 from __future__ import annotations
 
@@ -8,52 +8,60 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
-from tidebend.controller.records.completions import CompletionTracker
+from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.kvclient import ConflictError
 from tidebend.quota import Amounts
 from tidebend.settings import Settings
 
 
 class QuotaReleaser:
-    """Every holder looks at the same records: who waits, what is free, and what of its own shares it doesn't use.
+    """Decides when our zones' unused quotas are released.
 
-    That its work waits is all that a team has to say, and its job's record says it. A share lies with whoever holds its
-    zone's block: so it waits for a holder that is dead or cut off no longer than for that block's next holder.
+    No requests are sent between controllers: each holder of shards sees from the same records which jobs wait, what of
+    the limit is free, and which of its own quotas it doesn't use. A zone's quota can be released by whoever holds the
+    zone's shard, so the quota of a controller that is down or cut off is tied up only until the shard's next holder.
     """
 
     def __init__(
         self, settings: Settings, job_cache: JobCache, quota_rebalancer: QuotaRebalancer, completions: CompletionTracker
     ) -> None:
-        self.settings = settings
-        self.job_cache = job_cache
-        self.quota_rebalancer = quota_rebalancer
-        # a moment later, since it is we who use them first: our own tasks that end make room for the team's next
-        self.pause_s = completions.allocation_pause_s
-        self._since: dict[str, float] = {}  # team -> steady time since which what is free is too small
-
-    def look(self, waiting: Iterable[Job], now: float) -> None:
-        short = self._short(waiting)
-        self._since = {team: self._since.get(team, now) for team in short}
+        """Release by `quota_rebalancer`, after the pause that `completions` keeps between allocations."""
+        self._settings = settings
+        self._job_cache = job_cache
+        self._quota_rebalancer = quota_rebalancer
+        # our own jobs may use the quota first: their ended tasks make room for the team's next ones
+        self._delay_s = completions.allocation_pause_s
+        self._short_since: dict[str, float] = {}  # team -> steady time since which too little of its limit is free
+
+    def release_for(self, waiting: Iterable[Job], now: float) -> None:
+        """Release the quotas of teams whose waiting jobs have been short of quota for long enough.
+
+        Raises the errors of `WatchCache.write` but for conflicts.
+        """
+        short = self._teams_short_of_quota(waiting)
+        self._short_since = {team: self._short_since.get(team, now) for team in short}
         for team in sorted(short):
-            if now - self._since[team] > self.pause_s:
-                self._since[team] = now
+            if now - self._short_since[team] > self._delay_s:
+                self._short_since[team] = now
                 with contextlib.suppress(ConflictError):
-                    self.quota_rebalancer.release_shares(team)
+                    self._quota_rebalancer.release_unused(team)
+
+    look = release_for  # former name, until the scheduling loop uses the present one
 
-    def _short(self, waiting: Iterable[Job]) -> set[str]:
-        """Teams some job of which can't begin another task, or can't begin at all, with what is free."""
+    def _teams_short_of_quota(self, waiting: Iterable[Job]) -> set[str]:
+        """Return the teams with a job that can't start another task, or can't start at all, with what is free."""
         totals: dict[str, Amounts | None] = {}
         short = set()
         for job in waiting:
             spec = job.spec
-            limit = self.settings.teams.get(spec.team)
+            limit = self._settings.teams.get(spec.team)
             if limit is None or spec.team in short:
                 continue
             if spec.team not in totals:
-                shares = self.job_cache.team(spec.team).shares
-                totals[spec.team] = shares.total() if shares else None
+                quotas = self._job_cache.team(spec.team).shares
+                totals[spec.team] = quotas.total() if quotas else None
             total = totals[spec.team]
-            # guards against a gang that waits for ever beside a free amount that any one of its tasks would fit into
+            # a gang needs room for all its tasks: it would wait for ever beside an amount that one of them fits into
             tasks = job.pending.bit_count() if spec.kind == "gang" else 1
             if total is not None and not limit.allows(total[0] + spec.cpus * tasks, total[1] + spec.gpus * tasks):
                 short.add(spec.team)
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -72,7 +72,7 @@
             job = self._job_cache.get(job_id)
             if job is not None and job.spec.team == team and completions.ended:
                 found.append(CompletionEdit(completions.amounts(job.spec), self._edit(job_id, completions)))
-        return sorted(found, key=lambda row: (-row.freed[0], -row.freed[1], row.edit.job))
+        return sorted(found, key=lambda row: (-row.freed[0], -row.freed[1], row.edit.job_id))
 
     def record(self, unrecorded: dict[str, UnrecordedCompletions]) -> None:
         """Write the completions that have been gathered for long enough, and the urgent ones.
@@ -113,7 +113,7 @@
             # The indexes of the done tasks may be too scattered for a record. The platform keeps results, so a task
             # that isn't recorded as done and is started again is done at once.
             without_done = job.without(completions.ended, 0)
-            return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.value_bytes else without_done
+            return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.max_value_bytes else without_done
         return new
 
     def _edit(self, job_id: str, completions: UnrecordedCompletions) -> JobEdit:
--- /dev/null
+++ b/tidebend/controller/records/final_transactions.py
@@ -0,0 +1,67 @@
+"""Transactions on jobs that are over: the last one, and deletions of chunks ahead of it."""
+
+from __future__ import annotations
+
+import time
+from dataclasses import replace
+
+from tidebend.cluster_state.job_cache import JobCache, pack_final
+from tidebend.cluster_state.job_records import Job
+from tidebend.controller.records.job_transaction import JobTransaction, chunk_key, chunk_versions, delete, put
+from tidebend.controller.records.record_limits import RecordLimits
+from tidebend.coordination.schema_version import SchemaVersion
+from tidebend.kvclient import FINAL
+from tidebend.protocol import Write
+from tidebend.quota import TeamUsage
+
+# the last transaction's writes besides the chunks: the job's record, its final record and its team's record
+WRITES_BESIDES_CHUNKS = 3
+
+
+class FinalTransactionBuilder:
+    """Replaces the records of a job that is done or cancelled by its final record."""
+
+    def __init__(self, job_cache: JobCache, schema_version: SchemaVersion, record_limits: RecordLimits) -> None:
+        """Write final records in the format that `schema_version` allows."""
+        self._job_cache = job_cache
+        self._schema_version = schema_version
+        self._record_limits = record_limits
+
+    def build(self, job: Job, new: Job, usage: TeamUsage) -> JobTransaction | None:
+        """Return the next transaction of a job that is over; None while some of its chunks aren't in the cache.
+
+        A cancelled job stays cancelled, whatever else is true of it. If the job has more chunks than one transaction
+        deletes, the first ones are deleted ahead, and the job remains.
+        """
+        versions = chunk_versions(self._job_cache, job)
+        if job.chunks and job.chunks.unknown:
+            return None
+        if len(versions) > max(0, self._record_limits.max_writes - WRITES_BESIDES_CHUNKS):
+            numbers = list(versions)[: self._record_limits.max_writes - 1]
+            return self._delete_chunks(job, new, {number: versions[number] for number in numbers}, usage)
+        keys = [chunk_key(job.id, number) for number in versions]
+        state = "cancelled" if new.cancelled else "done"
+        final = pack_final(state, time.time(), not self._schema_version.pipelines)
+        return JobTransaction(
+            new,
+            {job.key: job.version, **dict(zip(keys, versions.values(), strict=True))},
+            [delete(job.key), put(FINAL + job.id, final), *map(delete, keys)],
+            usage.without(job.spec, job.charged),
+        )
+
+    def _delete_chunks(self, job: Job, new: Job, versions: dict[int, int], usage: TeamUsage) -> JobTransaction:
+        """Delete the chunks with these numbers ahead of the job."""
+        keys = [chunk_key(job.id, number) for number in versions]
+        conditions = {job.key: job.version, **dict(zip(keys, versions.values(), strict=True))}
+        writes: list[Write] = list(map(delete, keys))
+        if job.chunks:
+            # allocations that end with this change count as ended: the team's record would count them for ever else
+            rows = tuple(
+                (number, new.chunk_of(number, job) if number in versions else chunk)
+                for number, chunk in job.chunks.rows
+            )
+            open_numbers = [number for number in versions if job.chunks.opened >> number & 1]
+            job = replace(job, cancelled=new.cancelled, chunks=replace(job.chunks, rows=rows))
+            job = job.without_chunks(open_numbers)
+            writes.append(put(job.key, job.pack()))
+        return JobTransaction(job, conditions, writes, usage)
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -1,15 +1,15 @@
-"""Records that have become too large: a job's record becomes a head with parts."""
+"""Splits a job's record that has become too large into a head record with chunks."""
 
 from __future__ import annotations
 
 import logging
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD
-from tidebend.cluster_state.record_chunks import ChunkIndex, chunk_size
-from tidebend.controller.records.record_limits import CLAIMS_SHARE, RecordLimits, packed_bytes
-from tidebend.controller.records.transaction_builder import chunk_key
+from tidebend.cluster_state.job_records import HEAD, Job
+from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, chunk_size
+from tidebend.controller.records.job_transaction import chunk_key, delete, put
+from tidebend.controller.records.record_limits import ALLOCATIONS_SHARE, RecordLimits, packed_bytes
 from tidebend.coordination.schema_version import FORMAT
 from tidebend.kvclient import ConflictError, WatchCache
 from tidebend.protocol import Write
@@ -17,59 +17,106 @@
 log = logging.getLogger("ledger")
 
 
+@dataclass
+class _SplitJob:
+    """A job's records as they are after the split."""
+
+    head: Job
+    index: ChunkIndex
+    open_chunks: dict[int, Chunk]
+    finished_chunks: int  # bitmap of chunks that need no record
+
+    @property
+    def largest_chunk_bytes(self) -> int:
+        """The packed size of the largest chunk."""
+        sizes = (packed_bytes(self.pack_chunk(number)) for number in self.open_chunks)
+        return max(sizes, default=0)
+
+    def pack_chunk(self, number: int) -> dict[str, object]:
+        """Return the record of an open chunk."""
+        return self.open_chunks[number].pack(number * self.index.size)
+
+
 class RecordSplitter:
+    """Moves jobs to head records with chunks, one job at a time."""
+
     def __init__(self, cache: WatchCache, job_cache: JobCache, record_limits: RecordLimits) -> None:
-        self.cache = cache
-        self.job_cache = job_cache
-        self.record_limits = record_limits
+        """Write through `cache`, with chunks as large as `record_limits` allow."""
+        self._cache = cache
+        self._job_cache = job_cache
+        self._record_limits = record_limits
 
-    def split(self, name: str, patience: float) -> bool:
-        """Move a job from one record to a head with parts: the parts first, to which nothing refers yet, then the head.
+    def split(self, job_id: str, patience: float) -> bool:
+        """Replace a job's record by a head with chunks; False if the job is gone or was changed meanwhile.
 
-        Each step is conditional on the record that is split, and each part says from which version of it it was
-        made: so the steps may be interrupted anywhere, and be made by several controllers. Records as the version
-        before pipelines wrote them come here once what is to be written no longer fits, and not before.
+        The chunks are written first, while nothing refers to them, then the head. Each step is conditional on the
+        version of the record that is split, and each chunk contains that version: the steps may be interrupted
+        anywhere, and made by several controllers. Records of the schema version before pipelines are split once a
+        change doesn't fit any more, not before. Raises the errors of `WatchCache.write` but for conflicts; `patience`
+        is the time in seconds for which each write is repeated.
         """
-        with self.job_cache.lock:
-            job = self.job_cache.get(name)
+        with self._job_cache.lock:
+            job = self._job_cache.get(job_id)
             if job is None or job.chunks:
                 return job is not None
-            sources = self.job_cache.chunk_sources(name)
-        size = min(chunk_size(self.record_limits.value_bytes), job.spec.tasks)
-        while True:
-            whole = replace(job, chunks=ChunkIndex(size, ended=job.ended, started=job.started))
-            chunks = whole.chunks
-            assert chunks is not None
-            rows, closed = {}, 0
-            for number in chunks.numbers(whole.done | whole.claimed):
-                chunk = replace(whole.chunk_of(number, job), source=job.version, started=job.started)
-                if whole.is_over(number, chunk):
-                    closed |= 1 << number
-                else:
-                    rows[number] = chunk
-            largest = max((packed_bytes(chunk.pack(number * size)) for number, chunk in rows.items()), default=0)
-            if size == 1 or largest <= CLAIMS_SHARE * self.record_limits.value_bytes:
-                break
-            size = max(1, size // 2)
-        opened = sum(1 << number for number in rows)
-        head = replace(whole, chunks=replace(chunks, opened=opened, closed=0 if job.cancelled else closed))
-        writes: list[Write] = [
-            (chunk_key(name, number), chunk.pack(number * chunks.size), None)
-            for number, chunk in rows.items()
-            if sources.get(number) != job.version
-        ]
+            source_versions = self._job_cache.chunk_sources(job_id)
+        split_job = self._split_to_fit(job)
+        head = split_job.head
         try:
-            while writes:
-                self.cache.write({job.key: job.version}, writes[: self.record_limits.most_writes], patience=patience)
-                writes = writes[self.record_limits.most_writes :]
-            moved: list[Write] = [(job.key, None, None)] if job.key != head.key else []
-            self.cache.write(
-                {job.key: job.version, FORMAT: self.cache.get(FORMAT)[1], **({head.key: 0} if moved else {})},
-                [*moved, (HEAD + name, head.pack(), None)],
-                patience=patience,
-            )
+            self._write_chunks(job, split_job, source_versions, patience)
+            self._write_head(job, head, patience)
         except ConflictError:
-            self.cache.barrier(self.cache.state.timeout, "claim")
+            self._cache.barrier(self._cache.state.timeout, "claim")
             return False
-        log.info("job %s is kept in %d parts from now on", name, len(rows) + closed.bit_count())
+        chunks = len(split_job.open_chunks) + split_job.finished_chunks.bit_count()
+        log.info("job %s is kept in %d parts from now on", job_id, chunks)
         return True
+
+    def _split_to_fit(self, job: Job) -> _SplitJob:
+        """Split a job into the largest chunks whose records leave room for what is to come."""
+        max_bytes = ALLOCATIONS_SHARE * self._record_limits.max_value_bytes
+        size = min(chunk_size(self._record_limits.max_value_bytes), job.spec.tasks)
+        split_job = self._split_into(job, size)
+        while size > 1 and split_job.largest_chunk_bytes > max_bytes:
+            size = max(1, size // 2)
+            split_job = self._split_into(job, size)
+        return split_job
+
+    @staticmethod
+    def _split_into(job: Job, size: int) -> _SplitJob:
+        """Split a job into chunks of `size` tasks."""
+        index = ChunkIndex(size, ended=job.ended, started=job.started)
+        whole = replace(job, chunks=index)
+        open_chunks: dict[int, Chunk] = {}
+        finished = 0
+        for number in index.numbers(whole.done | whole.claimed):
+            chunk = replace(whole.chunk_of(number, job), source=job.version, started=job.started)
+            if whole.is_over(number, chunk):
+                finished |= 1 << number
+            else:
+                open_chunks[number] = chunk
+        opened = sum(1 << number for number in open_chunks)
+        head_index = replace(index, opened=opened, closed=0 if job.cancelled else finished)
+        return _SplitJob(replace(whole, chunks=head_index), index, open_chunks, finished)
+
+    def _write_chunks(self, job: Job, split_job: _SplitJob, source_versions: dict[int, int], patience: float) -> None:
+        """Write the chunks that weren't written from this version of the job's record before."""
+        writes: list[Write] = [
+            put(chunk_key(job.id, number), split_job.pack_chunk(number))
+            for number in split_job.open_chunks
+            if source_versions.get(number) != job.version
+        ]
+        max_writes = self._record_limits.max_writes
+        while writes:
+            self._cache.write({job.key: job.version}, writes[:max_writes], patience=patience)
+            writes = writes[max_writes:]
+
+    def _write_head(self, job: Job, head: Job, patience: float) -> None:
+        """Replace the record by the head, under the head's key."""
+        conditions = {job.key: job.version, FORMAT: self._cache.get(FORMAT)[1]}
+        writes: list[Write] = []
+        if job.key != head.key:
+            conditions[head.key] = 0
+            writes.append(delete(job.key))
+        writes.append(put(HEAD + job.id, head.pack()))
+        self._cache.write(conditions, writes, patience=patience)
