--- a/lab/search.py
+++ b/lab/search.py
@@ -501,7 +501,7 @@
 @_fault
 def unread_answer():
     """Users are answered from the cache as it is, without a read."""
-    with mock.patch.object(JobApi, "find", lambda self, name: self._known(name)):
+    with mock.patch.object(JobApi, "find", lambda self, name: self._answer_from_cache(name)):
         yield
 
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -84,7 +84,7 @@
 
 def test_answers_from_the_cache_without_a_read_are_older(monkeypatch):
     """The guard of the test above taken out."""
-    monkeypatch.setattr(JobApi, "find", JobApi._known)
+    monkeypatch.setattr(JobApi, "find", JobApi._answer_from_cache)
     for world in small(1):
         pairs(world)
         assert breaches(world.log, world.jobs, TEAMS, world.cancel_s, world.completed)
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -1,16 +1,16 @@
-"""The users' API: submissions, polls and cancellations."""
+"""The users' API: submitting, polling and cancelling jobs."""
 
 from __future__ import annotations
 
-import json
-import logging
 import time
 from collections.abc import Callable
 from dataclasses import replace
+from typing import Any
 
 from tidebend import protocol
 from tidebend.cluster_state.job_cache import JobCache, unpack_final
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.controller.api.replies import RETRY_LATER, parse_body, unavailable_reply
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import packed_bytes
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
@@ -25,37 +25,35 @@
 )
 from tidebend.protocol import Invalid, JobSpec, MachineType
 from tidebend.settings import Settings
-from tidebend.transport import BadRequest, Reply
+from tidebend.transport import Reply
 
-log = logging.getLogger("users")
+# the longest wait for a read of the state service, in seconds: users wait 2 s for the answer to a poll
+MAX_READ_S = 1.2
+# the time in seconds for which the write of a submission is repeated
+SUBMIT_PATIENCE_S = 0.3
+# the ids of a job's dependencies take at most this share of its record
+DEPENDENCIES_SHARE = 0.35
+# the states of a job, as users are told them, that never change
+FINAL_STATES = ("done", "withdrawn")
 
-LATER = {"Retry-After": "1"}
-# each cause of 503 is logged no more often than this
-SAID_AGAIN_S = 10.0
-# the names of what a job waits for take no more than this share of its record
-AWAITS_SHARE = 0.35
 
+class SubmissionRefusedError(Exception):
+    """A submission is invalid or can never be carried out."""
 
-_said: dict[str, float] = {}  # cause -> steady time at which the log last told it
+    def __init__(self, status: int, reason: str) -> None:
+        """`status` is the HTTP status, `reason` the error that the user is told."""
+        super().__init__(reason)
+        self.status = status
+        self.reason = reason
 
 
-def unavailable_reply(text: str) -> Reply:
-    """503 with its cause, which the log tells once in a while."""
-    now = time.monotonic()
-    if now - _said.get(text, -1e9) > SAID_AGAIN_S:
-        _said[text] = now
-        log.info("503: %s", text)
-    return Reply(503, {"error": text}, LATER)
-
-
-def parse_body(raw: bytes) -> object:
-    try:
-        return json.loads(raw)
-    except (ValueError, RecursionError) as error:
-        raise BadRequest("not JSON") from error
+class JobApi:
+    """Answers users' requests about jobs.
 
+    An answer reflects a read of the state service that was begun after the request was received, so that it is never
+    older than what any controller has answered before.
+    """
 
-class JobApi:
     def __init__(
         self,
         settings: Settings,
@@ -64,157 +62,207 @@
         job_cache: JobCache,
         job_writer: JobWriter,
         schema_version: SchemaVersion,
-        types: Callable[[], dict[str, MachineType]],
-        wake: Callable[[], None],
+        machine_types: Callable[[], dict[str, MachineType]],
+        wake_scheduler: Callable[[], None],
         look_up_finals: Callable[[list[str], str], None],
     ) -> None:
+        """`machine_types` returns the types known so far, by name; for `look_up_finals` see `FinalRecordLookup`."""
         self.settings = settings
-        self.state = state
-        self.cache = cache
-        self.job_cache = job_cache
-        self.job_writer = job_writer
-        self.schema_version = schema_version
-        self.types = types
-        self.wake = wake
+        self._state = state
+        self._cache = cache
+        self._job_cache = job_cache
+        self._job_writer = job_writer
+        self._schema_version = schema_version
+        self._machine_types = machine_types
+        self._wake_scheduler = wake_scheduler
         self._look_up_finals = look_up_finals
-        # users wait 2 s for an answer to a poll
-        self.read_s = min(1.2, 2 * state.timeout)
+        self._read_timeout_s = min(MAX_READ_S, 2 * state.timeout)
+
+    # Requests
+
+    def submit(self, raw: bytes) -> Reply:
+        """Accept a job: 201 if it is new, 200 with its state if it was accepted before.
+
+        400 and 422 refuse it for good. 429 and 503 don't tell whether it was accepted: the user repeats the request.
+        Raises `BadRequest` if the body isn't JSON.
+        """
+        received_at = time.time()
+        body = parse_body(raw)
+        try:
+            job_id = protocol.job_id(body)
+        except Invalid as error:
+            return Reply(400, {"error": str(error)})
+        try:
+            return self._submit(job_id, body, received_at)
+        except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError) as error:
+            if str(error).startswith("over"):  # over our budget of requests
+                return Reply(429, {"error": "too many requests"}, RETRY_LATER)
+            return unavailable_reply("the state service can't be reached")
+
+    def poll(self, job_id: str) -> Reply:
+        """Return the job's state, with the numbers of done and running tasks as long as they are known."""
+        if not protocol.is_job_id(job_id):
+            return _no_such_job()
+        try:
+            return self.find(job_id) or _no_such_job()
+        except (NotExecutedError, OutcomeUnknownError):
+            return unavailable_reply("the state service can't be reached")
+
+    def cancel(self, job_id: str) -> Reply:
+        """Cancel a job that isn't over; 200 with its final state, which a repeated request doesn't change."""
+        if not protocol.is_job_id(job_id):
+            return _no_such_job()
+        try:
+            found = self.find(job_id)
+            if found is None:
+                return _no_such_job()
+            if _is_final(found):
+                return found
+            self._job_writer.change(
+                job_id, lambda job, _: None if job.complete else replace(job, cancelled=True), conditions={}
+            )
+            answer = self._answer_from_cache(job_id)
+            if answer is not None and _is_final(answer):
+                self._wake_scheduler()
+                return answer
+            return unavailable_reply("try again")
+        except (NotExecutedError, OutcomeUnknownError):
+            return unavailable_reply("the state service can't be reached")
+
+    # Reading a job's state
+
+    def find(self, job_id: str) -> Reply | None:
+        """Return the job's state by a read begun after this call; None if it was never accepted.
+
+        Final states don't change, so they are answered from the cache. Raises `NotExecutedError` or
+        `OutcomeUnknownError`.
+        """
+        if self._job_cache.final(job_id) is None:
+            if not self._cache.loaded.is_set() or not self._cache.barrier(self._read_timeout_s):
+                raise NotExecutedError("no state read")
+            self._look_up_finals(self._job_cache.unresolved(job_id), "poll")
+        answer = self._answer_from_cache(job_id)
+        if answer is None:
+            value, _ = self._state.get(FINAL + job_id)
+            if value is None:
+                return None
+            self._job_cache.remember_final(job_id, value)
+            answer = Reply(200, protocol.job_answer(job_id, unpack_final(value)[0]))
+        return answer
 
-    def _known(self, name: str) -> Reply | None:
-        """What the cache says of a job; the one place where that becomes an answer. None: it knows nothing of it."""
-        final = self.job_cache.final(name)
+    def _answer_from_cache(self, job_id: str) -> Reply | None:
+        """Return what the cache knows of a job; None if it knows nothing. All answers about jobs are made here."""
+        final = self._job_cache.final(job_id)
         if final is not None:
-            return Reply(200, protocol.job_answer(name, final))
-        job = self.job_cache.get(name)
+            return Reply(200, protocol.job_answer(job_id, final))
+        job = self._job_cache.get(job_id)
         if job is None:
-            # guards against a job that ended between the two looks
-            final = self.job_cache.final(name)
-            return None if final is None else Reply(200, protocol.job_answer(name, final))
+            # the job may have ended between the two look-ups
+            final = self._job_cache.final(job_id)
+            return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
         running = job.running
-        return Reply(
-            200, protocol.job_answer(job.id, "running" if running else "queued", job.done.bit_count(), running)
-        )
+        state = "running" if running else "queued"
+        return Reply(200, protocol.job_answer(job.id, state, job.done.bit_count(), running))
 
-    def find(self, name: str) -> Reply | None:
-        """The job's state by a read begun after this call (finals by the cache); None: never submitted."""
-        if self.job_cache.final(name) is None:
-            if not self.cache.loaded.is_set() or not self.cache.barrier(self.read_s):
-                raise NotExecutedError("no state read")
-            self._look_up_finals(self.job_cache.unresolved(name), "poll")
-        known = self._known(name)
-        if known is None:
-            value, _ = self.state.get(FINAL + name)
-            if value is None:
-                return None
-            self.job_cache.remember_final(name, value)
-            known = Reply(200, protocol.job_answer(name, unpack_final(value)[0]))
-        return known
+    # The steps of a submission
+
+    def _submit(self, job_id: str, body: Any, received_at: float) -> Reply:
+        """Answer a submission; raises the errors of the state service's client."""
+        if self._answer_from_cache(job_id):
+            answer = self.find(job_id)
+            if answer is not None:
+                return answer
+        try:
+            job = self._parse(job_id, body, received_at)
+            not_ready = self._reason_not_ready(job)
+            if not_ready is not None:
+                return unavailable_reply(not_ready)
+            job = self._job_writer.record_limits.in_recorded_form(job)
+            self._check(job)
+        except SubmissionRefusedError as refusal:
+            # what was accepted once is never refused, whatever the repeated body says and whatever is known by now
+            return self.find(job_id) or Reply(refusal.status, {"error": refusal.reason})
+        return self._write_new(job)
+
+    @staticmethod
+    def _parse(job_id: str, body: Any, received_at: float) -> Job:
+        try:
+            spec, dependencies = protocol.parse_job(body), protocol.parse_dependencies(body)
+        except Invalid as error:
+            raise SubmissionRefusedError(400, str(error)) from error
+        return Job(job_id, 0, spec, received_at, dependencies=dependencies)
+
+    def _reason_not_ready(self, job: Job) -> str | None:
+        """Return why this controller can't decide on the job yet; None if it can."""
+        if not self._machine_types() or not self._cache.loaded.is_set():
+            return "not ready to decide"
+        if job.dependencies and not self._schema_version.pipelines:
+            # a controller of the version before pipelines would start the job at once
+            return "not all controllers know pipelines yet"
+        return None
 
-    def _refused(self, name: str, status: int, text: str) -> Reply:
-        """What was once accepted is never refused, whatever a repeat's body says and whatever is known by now."""
-        return self.find(name) or Reply(status, {"error": text})
+    def _check(self, job: Job) -> None:
+        """Raise `SubmissionRefusedError` if a job can never be recorded or run."""
+        limits = self._job_writer.record_limits
+        if job.dependencies and packed_bytes(job.dependencies) > DEPENDENCIES_SHARE * limits.max_value_bytes:
+            raise SubmissionRefusedError(400, "awaits names more jobs than a record holds")
+        reason = (
+            self._reason_never_runs(job.spec)
+            or (limits.reason_never_fits(job) if self._schema_version.pipelines else None)
+            or self._reason_never_unblocked(job.dependencies)
+        )
+        if reason:
+            raise SubmissionRefusedError(422, reason)
 
-    def _undecidable(self, spec: JobSpec) -> str | None:
-        """Why a job can never run, if it can't."""
+    def _reason_never_runs(self, spec: JobSpec) -> str | None:
+        """Return why no task of a job can ever run; None if they can."""
         team = self.settings.teams.get(spec.team)
         if team is None:
             return "crew: unknown team"
-        if not any(kind.fits(spec) for kind in self.types().values()):
+        if not any(machine_type.fits(spec) for machine_type in self._machine_types().values()):
             return "no allowed machine type fits a task"
         tasks = 1 if spec.kind == "array" else spec.tasks
         if not team.allows(spec.cpus * tasks, spec.gpus * tasks):
             return "more than the team's limit"
         return None
 
-    def submit(self, raw: bytes) -> Reply:
-        came = time.time()
-        body = parse_body(raw)
-        try:
-            name = protocol.job_id(body)
-        except Invalid as error:
-            return Reply(400, {"error": str(error)})
-        try:
-            if self._known(name):
-                reply = self.find(name)
-                if reply is not None:
-                    return reply
-            try:
-                spec, dependencies = protocol.parse_job(body), protocol.parse_dependencies(body)
-            except Invalid as error:
-                return self._refused(name, 400, str(error))
-            if not self.types() or not self.cache.loaded.is_set():
-                return unavailable_reply("not ready to decide")
-            if dependencies and not self.schema_version.pipelines:
-                # a process of the version before would start it at once
-                return unavailable_reply("not all controllers know pipelines yet")
-            job = self.job_writer.record_limits.in_recorded_form(Job(name, 0, spec, came, dependencies=dependencies))
-            if (
-                dependencies
-                and packed_bytes(dependencies) > AWAITS_SHARE * self.job_writer.record_limits.max_value_bytes
-            ):
-                return self._refused(name, 400, "awaits names more jobs than a record holds")
-            never = (
-                self._undecidable(spec)
-                or (self.schema_version.pipelines and self.job_writer.record_limits.reason_never_fits(job))
-                or self._never_accepted(dependencies)
-            )
-            if never:
-                return self._refused(name, 422, never)
-            value = job.pack()
-            # a job that is kept has one record or the other
-            conditions = {JOB + name: 0, HEAD + name: 0, FINAL + name: 0}
-            if job.key != JOB + name:
-                conditions[FORMAT] = self.cache.get(FORMAT)[1]
-            try:
-                self.cache.write(conditions, [(job.key, value, None)], "submit", patience=0.3)
-            except ConflictError:
-                return self.find(name) or unavailable_reply("try again")
-            except OutcomeUnknownError:
-                return self.find(name) or unavailable_reply("the state service didn't answer")
-            self.wake()
-            # by now others may have cancelled it, or it may be over
-            known = self._known(name) or self.find(name)
-        except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError) as error:
-            if str(error).startswith("over"):
-                return Reply(429, {"error": "too many requests"}, LATER)
-            return unavailable_reply("the state service can't be reached")
-        return Reply(201, known.body) if known else unavailable_reply("try again")
+    def _reason_never_unblocked(self, dependencies: tuple[str, ...]) -> str | None:
+        """Return why the job's dependencies will never all be done; None if they may be.
 
-    def _never_accepted(self, names: tuple[str, ...]) -> str | None:
-        """Whether a job that is to be waited for can't be; that it was accepted holds for ever, its absence needs a
-        read begun after the request came."""
-        for name in names:
-            job = self.job_cache.get(name)
+        That a dependency was accepted holds for ever and may come from the cache; that it wasn't takes a read begun
+        after the request was received.
+        """
+        for job_id in dependencies:
+            job = self._job_cache.get(job_id)
             if job is not None and job.spec.kind == "service":
-                return f"awaits: {name} is a service"
-            if job is None and self.job_cache.final(name) is None and self.find(name) is None:
-                return f"awaits: {name} was never accepted"
+                return f"awaits: {job_id} is a service"
+            if job is None and self._job_cache.final(job_id) is None and self.find(job_id) is None:
+                return f"awaits: {job_id} was never accepted"
         return None
 
-    def poll(self, name: str) -> Reply:
-        if not protocol.is_job_id(name):
-            return Reply(404, {"error": "no such job"})
+    def _write_new(self, job: Job) -> Reply:
+        """Write a new job's record if the job has no record of any form, and answer by what is recorded then."""
+        conditions = {JOB + job.id: 0, HEAD + job.id: 0, FINAL + job.id: 0}
+        if job.key != JOB + job.id:
+            conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
-            return self.find(name) or Reply(404, {"error": "no such job"})
-        except (NotExecutedError, OutcomeUnknownError):
-            return unavailable_reply("the state service can't be reached")
+            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_PATIENCE_S)
+        except ConflictError:
+            return self.find(job.id) or unavailable_reply("try again")
+        except OutcomeUnknownError:
+            return self.find(job.id) or unavailable_reply("the state service didn't answer")
+        self._wake_scheduler()
+        # by now another request may have cancelled it, or it may be over
+        answer = self._answer_from_cache(job.id) or self.find(job.id)
+        return Reply(201, answer.body) if answer else unavailable_reply("try again")
 
-    def cancel(self, name: str) -> Reply:
-        if not protocol.is_job_id(name):
-            return Reply(404, {"error": "no such job"})
-        try:
-            found = self.find(name)
-            if found is None:
-                return Reply(404, {"error": "no such job"})
-            if found.body["tide"] in ("done", "withdrawn"):
-                return found
-            self.job_writer.change(name, lambda job, _: None if job.complete else replace(job, cancelled=True), {})
-            known = self._known(name)
-            if known is not None and known.body["tide"] in ("done", "withdrawn"):
-                self.wake()
-                return known
-            return unavailable_reply("try again")
-        except (NotExecutedError, OutcomeUnknownError):
-            return unavailable_reply("the state service can't be reached")
+
+def _no_such_job() -> Reply:
+    return Reply(404, {"error": "no such job"})
+
+
+def _is_final(answer: Reply) -> bool:
+    """Whether an answer says that the job is over."""
+    return answer.body["tide"] in FINAL_STATES
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -1,11 +1,10 @@
-"""Wiring: one controller's parts, threads and routes."""
+"""Wiring: creates one controller's parts, connects them and starts their threads."""
 
 from __future__ import annotations
 
 import gc
 import logging
 import threading
-import time
 from collections.abc import Callable
 from typing import Any
 
@@ -16,15 +15,18 @@
 from tidebend.cluster_state.record_chunks import CHUNK
 from tidebend.controller import connection_limits
 from tidebend.controller.api.job_api import JobApi
+from tidebend.controller.api.router import Router
 from tidebend.controller.autoscaling.rentals import Rentals
+from tidebend.controller.peer_report import PeerReport
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
+from tidebend.controller.readiness import Readiness
 from tidebend.controller.records.final_lookup import FinalRecordLookup
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import RecordLimits
 from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
 from tidebend.controller.workers.heartbeats import CommandDispatcher, HeartbeatHandler
 from tidebend.controller.workers.zone_probe import ZoneProbe
-from tidebend.coordination import Coordinator, PeerExchange, shard_of
+from tidebend.coordination import Coordinator, PeerExchange
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
 from tidebend.kvclient import FINAL, KeyValueClient, WatchCache
 from tidebend.settings import Settings
@@ -32,65 +34,108 @@
 
 log = logging.getLogger("service")
 
-STACK_BYTES = 256 * 1024
-KEEP_FINALS = 20_000
-# how long after a start requests wait for the first read, as a share of a controller's lease
-FIRST_READ = 0.2
+STACK_BYTES = 256 * 1024  # of each thread
+GC_THRESHOLDS = (5000, 20, 50)
+MAX_FINALS = 20_000  # final states of jobs that are kept in memory
+# a request to the state service times out after this share of a controller's lease, but not sooner than the minimum
+STATE_TIMEOUT_SHARE = 0.25
+MIN_STATE_TIMEOUT_S = 0.6
+# A watch waits for this share of a controller's lease. One that hangs unnoticed keeps the cache old for its whole time,
+# so it lasts only until the lease is renewed again: that makes no more requests than the renewals do.
+WATCH_SHARE = 0.25
+# the pause after a failed watch, as a share of the workers' lease
+WATCH_RETRY_SHARE = 0.1
+# connections without a request are closed after this many of the workers' leases
+IDLE_LEASES = 2.0
+# the longest time in seconds for receiving a request's body, if half of the workers' lease isn't shorter
+MAX_BODY_S = 5.0
 
 
 class Controller:
+    """One controller's parts.
+
+    The parts are created from the state service's client upwards. Each gets what it needs as constructor arguments;
+    where two parts need each other, the first gets a function that looks the second up when it is called.
+    """
+
     def __init__(self, settings: Settings, connect: Callable[..., HttpClient] = HttpClient) -> None:
+        """Create all parts without starting any thread; `connect` creates the clients of all HTTP connections."""
         self.settings = settings
-        self._patient_until = time.monotonic() + FIRST_READ * settings.controller_lease_s
-        lock = threading.RLock()
+        self._connect = connect
+        self._create_state_client()
+        self._create_coordination()
+        self._create_record_writers()
+        self._create_scheduler()
+        self._create_machine_management()
+        self._create_api()
+
+    def _create_state_client(self) -> None:
+        """The client of the state service, and the caches of what it keeps."""
+        settings = self.settings
         self.state = KeyValueClient(
             settings.state,
             settings.state_limits,
             settings.controllers,
-            max(0.6, settings.controller_lease_s / 4.0),
-            connect,
+            max(MIN_STATE_TIMEOUT_S, settings.controller_lease_s * STATE_TIMEOUT_SHARE),
+            self._connect,
         )
-        self.job_cache = JobCache(lock, KEEP_FINALS)
-        # A watch that hangs unnoticed keeps the cache old for its whole time, so it waits for no longer than until our
-        # lease is renewed again: no more requests than the renewals make.
+        lock = threading.RLock()  # shared, so that a change is seen in both caches or in neither
+        self.job_cache = JobCache(lock, MAX_FINALS)
         self.cache = WatchCache(
-            self.state, self._changed, lock, watch_s=settings.controller_lease_s / 4.0, retry_s=0.1 * settings.lease_s
+            self.state,
+            self._on_change,
+            lock,
+            watch_s=settings.controller_lease_s * WATCH_SHARE,
+            retry_s=WATCH_RETRY_SHARE * settings.lease_s,
         )
+        self.schema_version = SchemaVersion(settings, self.state, self.cache)
+
+    def _create_coordination(self) -> None:
+        """The lease and the shards, the peers, and the connections to workers."""
+        settings = self.settings
         self.machine_registry = MachineRegistry()
         self.command_dispatcher = CommandDispatcher(
-            settings, self.job_cache, self.machine_registry, lambda: self.planner.wake(), connect
+            settings, self.job_cache, self.machine_registry, self._wake_scheduler, self._connect
         )
-        self.schema_version = SchemaVersion(settings, self.state, self.cache)
         self.coordinator = Coordinator(
             settings, self.state, self.cache, self.command_dispatcher.on_shard_acquired, self.schema_version
         )
+        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
+        self.command_dispatcher.coordinator, self.command_dispatcher.peer_exchange = (
+            self.coordinator,
+            self.peer_exchange,
+        )
+        self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
+
+    def _create_record_writers(self) -> None:
         self.quota_rebalancer = QuotaRebalancer(
-            settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
+            self.settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
         )
-        self.record_limits = RecordLimits(settings.state_limits, self.schema_version, self.state.writes_per_s)
+        self.record_limits = RecordLimits(self.settings.state_limits, self.schema_version, self.state.writes_per_s)
         self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
-        self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
         self.final_lookup = FinalRecordLookup(self.state, self.job_cache)
+
+    def _create_scheduler(self) -> None:
         self.planner = SchedulingLoop(
-            settings,
+            self.settings,
             self.coordinator,
             self.job_cache,
             self.machine_registry,
             self.job_writer,
             self.quota_rebalancer,
-            self._types,
+            self._machine_types,
             self.command_dispatcher.send,
             self.peer_exchange.is_crash_looping,
             self.final_lookup.look_up,
         )
-        self.command_dispatcher.coordinator, self.command_dispatcher.peer_exchange = (
-            self.coordinator,
-            self.peer_exchange,
+
+    def _create_machine_management(self) -> None:
+        """What rents machines, and what finds out which of them are reachable."""
+        self.zone_probe = ZoneProbe(
+            self.settings, self.coordinator, self.peer_exchange, self.machine_registry, self._connect
         )
-        self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
-        self.zone_probe = ZoneProbe(settings, self.coordinator, self.peer_exchange, self.machine_registry, connect)
         self.rentals = Rentals(
-            settings,
+            self.settings,
             self.coordinator,
             self.peer_exchange,
             self.job_cache,
@@ -98,21 +143,34 @@
             self.job_writer,
             self.planner,
             self.zone_probe,
-            connect,
+            self._connect,
         )
+        self._peer_report = PeerReport(
+            self.settings,
+            self.cache,
+            self.coordinator,
+            self.schema_version,
+            self.machine_registry,
+            self.planner.completions,
+            self.rentals,
+            self.zone_probe,
+        )
+
+    def _create_api(self) -> None:
+        """The handlers of users' requests and workers' heartbeats."""
         self.job_api = JobApi(
-            settings,
+            self.settings,
             self.state,
             self.cache,
             self.job_cache,
             self.job_writer,
             self.schema_version,
-            self._types,
+            self._machine_types,
             self.planner.wake,
             self.final_lookup.look_up,
         )
         self.heartbeats = HeartbeatHandler(
-            settings,
+            self.settings,
             self.cache,
             self.job_cache,
             self.machine_registry,
@@ -120,14 +178,26 @@
             self.planner.wake,
             self.zone_probe.record_report,
         )
+        self.readiness = Readiness(self.settings, self.cache, self.peer_exchange, self._machine_types)
+        self._router = Router(self.readiness, self.job_api, self.heartbeats.report)
 
-    def _types(self) -> dict[str, protocol.MachineType]:
+    # Looked up when called, since the parts that need them are created before those that have them.
+
+    def _wake_scheduler(self) -> None:
+        self.planner.wake()
+
+    def _machine_types(self) -> dict[str, protocol.MachineType]:
         return self.rentals.types
 
-    def _changed(self, key: str, value: Any, version: int) -> None:
+    def peer_frame(self) -> dict[str, Any]:
+        """Return the frame that peers are to be sent now."""
+        return self._peer_report.build()
+
+    def _on_change(self, key: str, value: Any, version: int) -> None:
+        """Pass a changed record on to those who keep or watch it; called under the caches' lock."""
         self.job_cache.on_change(key, value, version)
         if key == FORMAT and self.schema_version.pipelines:
-            # from now on the limits that are to come may be in force
+            # from now on the limits that are announced for the time after an upgrade may be in force
             self.state.keep_within(self.settings.state_next)
             self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
             log.info("format %d is in force", self.schema_version.version)
@@ -136,84 +206,18 @@
         else:
             self.coordinator.wake.set()
 
-    def peer_frame(self) -> dict[str, Any]:
-        machines = [
-            [m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session]
-            for m in self.machine_registry.all()
-            if not m.draining and not m.releasing and self.coordinator.grant(shard_of(m.zone))
-        ]
-        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.recently_released)]
-        frame = {
-            "from": self.settings.name,
-            "state_contact": time.time() - self.cache.age_s,
-            "machines": machines,
-            "held": [grant.shard for grant in self.coordinator.grants()],
-            "blocks": self.coordinator.table(),
-        }
-        if self.schema_version.pipelines:
-            frame.update(at_fault=self.planner.completions.crash_looping_jobs(), came=self.zone_probe.report_ages())
-        return frame
-
-    def _knows(self) -> bool:
-        return self.cache.loaded.is_set() and bool(self.rentals.types)
-
-    def _first_read(self) -> None:
-        """Wait for it, if it is under way.
-
-        Guards against a refusal for being a tenth of a second early: a process that ends is started again within a
-        fraction of a second, so that users still come to it, and one who is refused comes back only after a second.
-        """
-        while not self._knows() and time.monotonic() < self._patient_until:
-            time.sleep(0.01)
-
-    def ready(self) -> bool:
-        """Whether this node can decide requests. When nobody can, staying up still serves final answers."""
-        if not self._knows():
-            return False
-        bound = self.settings.controller_lease_s
-        if self.cache.age_s <= bound:
-            return True
-        now = time.monotonic()
-        others = [
-            time.time() - peer.as_of <= bound + self.settings.clock_off_s
-            for peer in self.peer_exchange.peers.values()
-            if now - peer.at <= bound
-        ]
-        return not any(others)
+    # Running
 
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
-        path = path.partition("?")[0]
-        if path == protocol.PATH_REPORT:
-            reply = self.heartbeats.report(body()) if method == "POST" else Reply(405, {"error": "use POST"})
-            reply.yields = True  # a worker connects anew for its next report, a user would have to ask again
-            return reply
-        self._first_read()
-        if path == protocol.PATH_READY:
-            if method not in ("GET", "HEAD"):
-                return Reply(405, {"error": "use GET"})
-            return Reply(200, {}) if self.ready() else Reply(503, {"error": "not ready"}, {"Retry-After": "1"})
-        reply = self._users_request(method, path, body)
-        # Guards users of a controller that is out of touch alone: on the same connection they would find no other until
-        # the load balancer gives it up, which takes it several seconds.
-        reply.closes = reply.status == 503 and not self.ready()
-        return reply
-
-    def _users_request(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
-        if path == protocol.PATH_JOBS:
-            return self.job_api.submit(body()) if method == "POST" else Reply(405, {"error": "use POST"})
-        if path.startswith(protocol.PATH_JOBS + "/"):
-            name, slash, action = path[len(protocol.PATH_JOBS) + 1 :].partition("/")
-            if not slash:
-                return self.job_api.poll(name) if method == "GET" else Reply(405, {"error": "use GET"})
-            if action == "cancel":
-                if method != "POST":
-                    return Reply(405, {"error": "use POST"})
-                body()
-                return self.job_api.cancel(name)
-        return Reply(404, {"error": "no such path"})
+        """Answer a request; `body` reads its body. Raises what reading or parsing the body raises."""
+        return self._router.route(method, path, body)
+
+    def ready(self) -> bool:
+        """Whether requests should be sent here."""
+        return self.readiness.is_ready()
 
     def begin(self) -> None:
-        """Start all threads; requests reach us through `route`, by whichever server."""
+        """Start all threads; requests reach the controller by `route`, from whichever server."""
         self.cache.start()
         self.coordinator.start()
         if self.settings.peers:
@@ -225,11 +229,12 @@
         self.rentals.start()
 
     def start(self) -> Server:
+        """Open the listening socket and start all threads; the caller has to run the server that is returned."""
         server = Server(
             self.settings.listen,
             self.route,
-            idle_s=2.0 * self.settings.lease_s,
-            body_s=min(5.0, self.settings.lease_s / 2.0),
+            idle_s=IDLE_LEASES * self.settings.lease_s,
+            body_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
             most=connection_limits.incoming(self.settings),
             backlog=connection_limits.backlog(self.settings),
         )
@@ -238,8 +243,9 @@
 
 
 def run(settings: Settings) -> None:
+    """Run one controller until the process ends."""
     threading.stack_size(STACK_BYTES)
-    gc.set_threshold(5000, 20, 50)
+    gc.set_threshold(*GC_THRESHOLDS)
     server = Controller(settings).start()
     log.info("%s in %s serves on %s:%d", settings.name, settings.zone, *settings.listen)
     server.serve_forever(poll_interval=5.0)
