--- a/lab/model.py
+++ b/lab/model.py
@@ -156,7 +156,7 @@
 
     def claim(self, zone: str, key: str) -> None:
         if self.model.fault != "no_doubts":
-            self.shares.settle_uncertain_claims(0.0)
+            self.shares.settle_uncertain_writes(0.0)
         held = self.held()
         if zone not in held:
             return
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -51,7 +51,7 @@
         self.job_cache = job_cache
         self.schema_version = schema_version
         self.held_zones = held_zones
-        # Teams with writes that may still be executed -> a token for the last of them.
+        # team with writes that may still be executed -> an object that stands for the last of them
         self._uncertain_teams: dict[str, object] = {}
 
     def change_for_allocation(
@@ -92,7 +92,7 @@
         """Note that writes of these teams' allocations or quotas got no answer, and may still be executed."""
         self._uncertain_teams.update((team, object()) for team in teams)
 
-    def settle_uncertain_claims(self, patience: float) -> None:
+    def settle_uncertain_writes(self, patience: float) -> None:
         """Make sure that no write without an answer can be executed any more, and learn which have been.
 
         An allocation that is executed late is bounded only by its zone's quota, and a quota may be lowered late below
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -121,7 +121,7 @@
 
     def _gather_s_for(self, jobs: int) -> float:
         """Return the gathering time with completions of `jobs` jobs: longer with more, to leave writes for others."""
-        writes_per_s = COMPLETIONS_WRITE_SHARE * self._job_writer.cache.state.writes_per_s
+        writes_per_s = COMPLETIONS_WRITE_SHARE * self._job_writer.writes_per_s
         return max(self.gather_s, min(self._settings.lease_s, jobs / writes_per_s))
 
     def _must_be_recorded(self, job: Job, completions: UnrecordedCompletions, waited_s: float, gather_s: float) -> bool:
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -58,6 +58,11 @@
         self._batch_builder = EditBatchBuilder(job_cache, quota_rebalancer, record_limits, transaction_builder)
         self._record_splitter = RecordSplitter(cache, job_cache, record_limits)
 
+    @property
+    def writes_per_s(self) -> float:
+        """Our share of the state service's writes per second."""
+        return self.cache.state.writes_per_s
+
     def change(self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], patience: float = 1.0) -> Job | None:
         """Write one job's edit; None if there was nothing to write, or a condition failed.
 
@@ -75,7 +80,7 @@
         Raises `NotExecutedError` or `OutcomeUnknownError`; edits before the failed transaction may have been written.
         After `OutcomeUnknownError` the cache has been brought up to a later read, or that has failed too.
         """
-        self.quota_rebalancer.settle_uncertain_claims(patience)
+        self.quota_rebalancer.settle_uncertain_writes(patience)
         progress = _Progress(list(edits), tries, self.record_limits.max_writes)
         while progress.remaining and progress.tries_left:
             built = self._batch_builder.build(progress.remaining, progress.max_writes)
@@ -95,7 +100,7 @@
             self._retry_one_by_one(batch, progress)
         except OutcomeUnknownError:
             # The write may have been executed, or may be later. A read shows what has been executed, and the next call
-            # rules out what hasn't, by `settle_uncertain_claims`.
+            # rules out what hasn't, by `settle_uncertain_writes`.
             self.quota_rebalancer.mark_uncertain({team for team, _ in batch.added})
             self.cache.barrier(self.cache.state.timeout, "claim")
             raise
