--- a/lab/links.py
+++ b/lab/links.py
@@ -12,7 +12,7 @@
     def __init__(self, world, node, version):
         self.world, self.node, self.version = world, node, version
 
-    def __call__(self, address, keep=4):
+    def __call__(self, address, max_idle=4, keep=4):  # `keep` is the word of the version in production
         return _Client(self, address)
 
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -164,7 +164,7 @@
     closed = []
 
     class Client:
-        def __init__(self, address, keep):
+        def __init__(self, address, max_idle):
             self.address = address
 
         def request(self, *args):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -142,7 +142,7 @@
             )
             assert (
                 len(controller.autoscaler.cancelled_work._cancelled_since) < 3
-                and len(controller.planner.completions._since) < 3
+                and len(controller.planner.completions.recorder._waiting_since) < 3
             )
         late = [after for _, after in starts_after_cancellation(world.log)]
         assert len(late) <= 0.02 * asked and max(late, default=0.0) < 2.0, late
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -69,7 +69,7 @@
 class Refusing:
     """Refuses the first requests, as a service does whose limit the others have used up."""
 
-    def __init__(self, address, keep):
+    def __init__(self, address, max_idle):
         self.left = 3
 
     def request(self, method, path, body, timeout):
--- a/tidebend/access/client.py
+++ b/tidebend/access/client.py
@@ -14,9 +14,9 @@
 
 class KeyedClient(HttpClient):
     def __init__(
-        self, address: tuple[str, int], shown: Callable[[], str], keep: int = 4, tls: ssl.SSLContext | None = None
+        self, address: tuple[str, int], shown: Callable[[], str], max_idle: int = 4, tls: ssl.SSLContext | None = None
     ) -> None:
-        super().__init__(address, keep)
+        super().__init__(address, max_idle)
         self._shown = shown
         self._tls = tls
 
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -130,15 +130,15 @@
                 f"{address[0]}:{address[1]}: {error.strerror or error}; set another `listen`, or 0 for a free port"
             ) from error
 
-    def _connect(self, address: tuple[str, int], keep: int = 1) -> KeyedClient:
-        return KeyedClient(address, self.ring.shown, keep, self._tls)
+    def _connect(self, address: tuple[str, int], max_idle: int = 1) -> KeyedClient:
+        return KeyedClient(address, self.ring.shown, max_idle, self._tls)
 
     def _connector(self, state: tuple[str, int], cloud: tuple[str, int]) -> Callable[..., Any]:
         """What the controller has for clients: state service and cloud are in this process, agents are not."""
         inside = {state: Direct(self.state), cloud: self.provider}
 
-        def connect(address: tuple[str, int], keep: int = 4) -> Any:
-            return inside.get(address) or self._connect(address, keep)
+        def connect(address: tuple[str, int], max_idle: int = 4) -> Any:
+            return inside.get(address) or self._connect(address, max_idle)
 
         return connect
 
--- a/tidebend/controller/autoscaling/cloud_client.py
+++ b/tidebend/controller/autoscaling/cloud_client.py
@@ -35,7 +35,7 @@
     def __init__(self, settings: Settings, connect: Callable[..., HttpClient] = HttpClient) -> None:
         """`connect` makes the HTTP client of the cloud's address."""
         self.timeout_s = max(2.0, settings.lease_s / 3.0)
-        self._http = connect(settings.cloud, keep=KEPT_CONNECTIONS)
+        self._http = connect(settings.cloud, max_idle=KEPT_CONNECTIONS)
         self._budget = Budget(settings.cloud_rps, CALLS_BURST_S)
 
     def call(self, method: str, path: str, body: Any = None, reserve: float = 0.0) -> CloudResponse | None:
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -17,7 +17,7 @@
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.controller.quota.quota_release import QuotaReleaser
-from tidebend.controller.records.completions import CompletionTracker
+from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.scheduler.allocator import Allocator
 from tidebend.controller.scheduler.free_capacity import FreeCapacity, ScheduledMachine
@@ -57,6 +57,8 @@
         quota_rebalancer: QuotaRebalancer,
         types: Callable[[], dict[str, MachineType]],
         send: Callable[[set[str]], None],
+        peers_crash_looping: Callable[[], frozenset[str]],
+        look_up_finals: Callable[[list[str], str], None],
     ) -> None:
         """`types` gives the provider's machine types by name; `send` sends machines the commands due to them."""
         self.settings = settings
@@ -66,7 +68,7 @@
         self.send = send
         self.estimates = RunTimeEstimates()
         self.completions = CompletionTracker(
-            settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send
+            settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send, peers_crash_looping
         )
         self.free_capacity = FreeCapacity(settings, coordinator, job_cache, machine_registry, types, self.estimates)
         self.pending_jobs = PendingJobs(
@@ -77,7 +79,7 @@
         self.quota_releaser = QuotaReleaser(settings, job_cache, quota_rebalancer, self.completions)
         self.preemptor = Preemptor(settings, coordinator, job_cache, machine_registry, self.claim_stagger, send)
         self.event = threading.Event()
-        self.look_up_finals: Callable[[list[str], str], None] = lambda names, kind: None
+        self._look_up_finals = look_up_finals
         self._rest_until = 0.0  # steady time
 
     def start(self) -> None:
@@ -121,13 +123,13 @@
                 self.plan()
                 self._rest_until = self._end_of_rest(began, time.monotonic())
         finally:
-            self.completions.record_due()
+            self.completions.record_completions()
 
     def _resolve_final_records(self) -> None:
         unresolved = self.job_cache.unresolved()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
-                self.look_up_finals(unresolved, "claim")
+                self._look_up_finals(unresolved, "claim")
 
     def _end_of_rest(self, began: float, ended: float) -> float:
         rest = min(REST_PER_EVENT * (ended - began), LONGEST_REST_LEASES * self.settings.lease_s)
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -153,7 +153,7 @@
             self._queued.discard(target.machine)
             client = self._clients.get(target.address)
             if client is None:
-                client = self._clients[target.address] = self._connect(target.address, keep=1)
+                client = self._clients[target.address] = self._connect(target.address, max_idle=1)
             self._clients.move_to_end(target.address)
             has_too_many = len(self._clients) > connection_limits.kept(self._settings)
             oldest = self._clients.popitem(last=False)[1] if has_too_many else None
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -43,7 +43,7 @@
         timeout: float,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        self._http = connect(address, keep=6)
+        self._http = connect(address, max_idle=6)
         # A controller's share is more than an equal one, since the others seldom use theirs in the same second;
         # when they do, the service refuses, which is safe, and the refused back off.
         self._share = min(1.0, 1.8 / controllers)
