--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,8 +27,8 @@
 from tidebend.settings import Limits
 
 LIMITS = Limits(1e6, 1e6, 1024, 4)
-# A data directory as the code of commit b21e54f left it in a crash, its last change in the write-ahead log only, and
-# what that code read from it.
+# A data directory that the code of commit b21e54f wrote, copied while it was open, so that its last change is in the
+# write-ahead log only, and what that code read from it.
 SAMPLE = Path(__file__).parent / "samples" / "kvstore-b21e54f"
 
 
