--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -34,10 +34,10 @@
 COMMAND_STOP = "stop"
 COMMAND_FORGET = "forget"  # an ended attempt needn't be reported any more
 
-# States of a rented machine (`ListedMachine.state`); the cloud may name others.
+# States of a rented machine (`ListedMachine.state`); other words of the cloud are passed on as they are.
 MACHINE_BOOTING = "booting"
 MACHINE_RUNNING = "running"
-MACHINE_FAILED = "failed"
+MACHINE_FAILED = "failed"  # it stopped by itself and stays listed until it is released
 
 # States of a job as users see them.
 JOB_QUEUED = "queued"
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What a user asked for. The order of the fields is the order of a packed record: append only."""
+    """What a user asked for. The order of the fields is that of a packed record (`pack`), so it can't change."""
 
     job_class: str  # the class of jobs that service objectives name
     team: str  # whose quota is charged
@@ -71,10 +71,10 @@
     types: tuple[str, ...] | None  # machine types that it may run on; None: any
     zone: str | None  # the only zone in which it may run; None: any
     one_zone: bool  # all tasks in the same zone
-    spread: bool  # tasks on machines of their own, as far as possible
+    spread: bool  # no zone may hold more than half of the tasks, rounded up
     spot: bool  # may run on spot machines, which the cloud may take back
-    estimate_s: float  # the user's estimate of a task's run time
-    checkpoint_s: float  # time between two checkpoints of a task
+    estimate_s: float  # the user's estimate of a task's run time without the image's fetch; 0 for services
+    checkpoint_s: float  # run time between two checkpoints; 0: a task never saves and starts anew after a stop
     save_s: float  # time that a task needs to write a checkpoint when it is stopped
     deadline_s: float | None  # counted from the submission; None: no deadline
 
@@ -126,10 +126,10 @@
     gpus: float  # accelerators
     memory_gb: float
     cache_gb: float  # local disk for images
-    fetch_gb_per_s: float  # rate at which images are fetched
+    fetch_gb_per_s: float  # nominal rate at which images are fetched
     price: float  # for an hour, on demand
-    spot_price: float  # for an hour, as a spot machine
-    boot_s: float  # from the rental until it runs
+    spot_price: float  # for an hour, as a spot machine, at the moment
+    boot_s: float  # nominal time from the rental until it runs
     zones: tuple[str, ...]  # where it can be had
 
     def fetch_s(self, image_gb: float) -> float:
@@ -153,10 +153,10 @@
 
     job: str
     index: int  # of the task within its job, from 0
-    attempt: int  # grows with each start of the task
+    attempt: int  # each start of the task has a number of its own
     state: str  # one of TASK_STATES
     why: str | None  # once it has ended: why
-    saved: bool  # whether it has written a checkpoint
+    saved: bool  # whether its progress was saved when it was stopped
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,9 +168,9 @@
     type: str  # name of the machine's type
     zone: str
     spot: bool
-    session: int  # new each time the worker starts anew
-    sequence: int  # number of the report within the session
-    token: int  # the fencing token of the last controller that the worker has obeyed
+    session: int  # grows each time the worker's lease expires
+    sequence: int  # grows with each message of the worker; of the same session, the greater one is newer
+    token: int  # the highest fencing token that the worker has seen
     notice_s: float | None  # seconds until the cloud takes the machine back; None: not announced
     tasks: tuple[TaskReport, ...]
 
@@ -196,7 +196,7 @@
     zone: str
     spot: bool
     state: str  # one of MACHINE_..., or a word of the cloud's own
-    age_s: float  # since it was rented
+    age_s: float  # since the request that rented it, at the time that the list describes
 
 
 def task_name(job: str, index: int) -> str:
--- a/tidebend/protocol/machines.py
+++ b/tidebend/protocol/machines.py
@@ -48,7 +48,7 @@
 
 
 def rent(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """The body that rents `count` machines. `name` makes it idempotent: the cloud executes each name once."""
+    """The body that rents `count` machines. `name` makes it idempotent: once it has rented any, it rents no more."""
     return {"charter": name, "hull": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
 
 
--- a/tidebend/transport/request_handler.py
+++ b/tidebend/transport/request_handler.py
@@ -158,7 +158,7 @@
     do_GET = do_POST = do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = _answer  # noqa: N815
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Requests are told at the level of debugging only: there are thousands a second."""
+        """Requests are logged at the level of debugging only: there are too many of them."""
         log.debug(format, *args)
 
 
