--- a/tidebend/autoscaling/__init__.py
+++ b/tidebend/autoscaling/__init__.py
@@ -1,4 +1,4 @@
-"""What to rent: pure functions of the waiting work and the machines at hand, booting ones included."""
+"""What to rent: pure functions of the waiting tasks and the existing machines, booting ones included."""
 
 from tidebend.autoscaling.capacity import Capacity, Offer, Rental
 from tidebend.autoscaling.scale_out import WRONG_BY, to_rent
--- a/tidebend/autoscaling/capacity.py
+++ b/tidebend/autoscaling/capacity.py
@@ -1,4 +1,4 @@
-"""Machines at hand or on their way, and those that could be rented."""
+"""Machines that are up or booting, and those that could be rented."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Capacity:
-    """A machine at hand or on its way: its free amounts now, and what its tasks give back and when."""
+    """A machine that is up or booting: its free amounts now, and what its tasks give back and when."""
 
     type: MachineType
     zone: str
@@ -40,7 +40,7 @@
     def allowed(self, spec: JobSpec, fitting_types: set[str]) -> bool:
         """Whether the machine is of one of these types, may be lost if it is a spot machine, and has the CPUs.
 
-        Most machines are promised to others already, and passed over by the comparison of CPUs alone.
+        Most machines are promised to other requests already, and passed over by the comparison of CPUs alone.
         """
         return (
             self.most_cpus + EPSILON >= spec.cpus
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""What to rent for the waiting tasks that machines at hand or on their way can't serve in time."""
+"""What to rent for the waiting tasks that machines which are up or booting can't serve in time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
 # of the time until tasks must begin at the latest, this share may pass while they wait for others to end: these, too,
-# take longer than estimated, and others come meanwhile
+# take longer than estimated, and further tasks arrive meanwhile
 SPARE = 0.5
 # the shortest run time that is reckoned with when tasks follow one another, in seconds
 LEAST_RUN_S = 0.1
@@ -77,7 +77,7 @@
 
 
 class _RentalPlan:
-    """Promises capacity at hand to requests one after the other, and rents for what is missing."""
+    """Promises existing capacity to requests one after the other, and rents for what is missing."""
 
     def __init__(self, capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]) -> None:
         self.machines: dict[Offer, int] = {}  # to rent
@@ -87,7 +87,7 @@
         self._rank = rank
 
     def serve(self, request: TaskRequest) -> None:
-        """Find room for a request's tasks, on machines at hand as far as these serve it in time."""
+        """Find room for a request's tasks, on existing machines as far as these serve it in time."""
         offers = self._allowed_offers(request)
         boot_s = min((offer.type.boot_s for offer in offers), default=0.0)
         ready_in = max(0.0, request.not_before - self._now)
@@ -118,7 +118,7 @@
         ]
 
     def _fitting_types(self, request: TaskRequest) -> set[str]:
-        """The types of machines at hand on which the request's tasks may run."""
+        """The types of existing machines on which the request's tasks may run."""
         return {
             kind.name
             for kind in {capacity.type for capacity in self._capacities}
@@ -157,7 +157,7 @@
     def _room_by_zone(
         self, request: TaskRequest, offers: list[Offer], by: float, fitting_types: set[str]
     ) -> dict[str, int]:
-        """How many of the request's tasks fit by then on machines at hand, in each zone where it may run."""
+        """How many of the request's tasks fit by then on existing machines, in each zone where it may run."""
         need = need_of(request.spec)
         zones = {*(capacity.zone for capacity in self._capacities), *(offer.zone for offer in offers)}
         room = {zone: 0 for zone in zones if request.spec.zone in (None, zone)}
@@ -202,7 +202,7 @@
 
 
 def _promise(request: TaskRequest, capacities: list[Capacity], by: float, fitting_types: set[str], missing: int) -> int:
-    """Promise room on machines at hand, by then, to a request's missing tasks; returns how many are left."""
+    """Promise room on existing machines, by then, to a request's missing tasks; returns how many are left."""
     need = need_of(request.spec)
     for capacity in capacities:
         if missing <= 0:
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -116,19 +116,19 @@
     def add(self, job: Job, allocation: Allocation, estimate: float) -> None:
         """Count an allocation; `estimate` is the run time in seconds of each of its tasks."""
         need = need_of(job.spec)
-        image_at_hand = False
+        image_fetched = False
         for index in members(allocation.tasks):
             key = (job.id, index, allocation.attempt)
             task = self._machine.tasks.get(key)
             if task is not None and task.state == "ended" and allocation.session == self._machine.session:
-                image_at_hand = True
-                continue  # its room is free; that its record doesn't say so yet keeps nobody waiting
+                image_fetched = True
+                continue  # its room is free; that its record doesn't say so yet delays no other task
             self._take(need, self._remaining_s(job, allocation, key, estimate))
             if task is None or task.state == "fetching":
                 self.images_being_fetched.add(job.spec.image)
             else:
-                image_at_hand = True
-        if image_at_hand:
+                image_fetched = True
+        if image_fetched:
             self._machine.uses_image(job.spec.image, job.spec.image_gb, self._kind.cache_gb)
 
     def timeline(self) -> Timeline:
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -59,7 +59,8 @@
 class StopPlan(NamedTuple):
     """The stops that make room for one task on a machine. Plans compare by the task's wait, then by the loss.
 
-    Room where the image is at hand is used at once; a fetch often takes longer than the objective for starts allows.
+    Room on a machine that has the image is used at once; a fetch often takes longer than the objective for starts
+    allows.
     """
 
     fetch_s: float
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -180,8 +180,8 @@
             request = self.pending_jobs.request(job, now, clock, held)
             if request is None:
                 continue
-            image_at_hand = _fits_any(request, candidates_by_image.get(job.spec.image, ()))
-            round_ = 0 if image_at_hand else 1
+            image_fetched = _fits_any(request, candidates_by_image.get(job.spec.image, ()))
+            round_ = 0 if image_fetched else 1
             delay_s = min((self.claim_stagger.delay_s(job, shard, shards, now, round_) for shard in ours), default=0.0)
             delay_s = self._with_claim_pause(job, delay_s, now)
             if delay_s > 0:
--- a/tidebend/controller/scheduler/staggered_claims.py
+++ b/tidebend/controller/scheduler/staggered_claims.py
@@ -48,13 +48,13 @@
     def delay_s(self, job: Job, shard: str, shards: list[str], now: float, round_: int) -> float:
         """Seconds until this shard may claim a job's tasks; 0 or less: now.
 
-        Shards with the job's image at hand claim in round 0, the others after all of them in round 1: a fetch takes
-        longer than the wait.
+        Shards with a machine that has the job's image claim in round 0, the others after all of them in round 1: a
+        fetch takes longer than the wait.
         """
         seen = self._seen(job, now)
         order = shard_order(job.id, shards)
         if shard not in order or len(order) == 1:
-            return 0.0  # nobody to collide with
+            return 0.0  # there is no other shard to collide with
         return seen.since + (order.index(shard) + round_ * len(order)) * self.interval_s - now
 
     def _seen(self, job: Job, now: float) -> _PendingSince:
--- a/tidebend/scheduling/__init__.py
+++ b/tidebend/scheduling/__init__.py
@@ -1,5 +1,7 @@
 """Maximum value per resource with place-holders (Khemka et al.): pure functions of a snapshot and a clock."""
 
+from tidebend.scheduling.event_state import EventState
+from tidebend.scheduling.mapping_event import MappingEvent, map_tasks
 from tidebend.scheduling.resources import (
     EPSILON,
     UNLIMITED_TASKS,
@@ -15,7 +17,6 @@
 from tidebend.scheduling.task_requests import CandidateMachine, GuaranteeBalance, Placement, TaskRequest, allowed_on
 from tidebend.scheduling.timeline import Timeline
 from tidebend.scheduling.value_functions import Demand, Value, demands, is_reserved, own_demand, value_of
-from tidebend.scheduling.value_per_resource import MappingEvent, map_tasks
 
 __all__ = [
     "EPSILON",
@@ -23,6 +24,7 @@
     "Amount",
     "CandidateMachine",
     "Demand",
+    "EventState",
     "GuaranteeBalance",
     "MappingEvent",
     "Placement",
--- a/tidebend/scheduling/gang_placement.py
+++ b/tidebend/scheduling/gang_placement.py
@@ -1,4 +1,4 @@
-"""Places for all tasks of a gang at one time."""
+"""Placing all tasks of a gang at one time."""
 
 from __future__ import annotations
 
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -23,7 +23,7 @@
     zone: str
     spot: bool
     timeline: Timeline
-    images: set[str] = field(default_factory=set)  # at hand or being fetched
+    images: set[str] = field(default_factory=set)  # on the machine or being fetched
     fetching: int = 0  # images that are being fetched now
     reclaimed_at: float = math.inf  # when the cloud takes the machine back
     changes: int = 0  # placements made on it in this event
