--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -91,7 +91,7 @@
     assert found["b"] == Demand(2, 192.0, 222.0) and found["c"] == Demand(2, 192.0, 222.0)
     assert found["a"] == Demand(2, 162.0, 192.0)  # through b, the longer way
     # without the last job, or before it comes, nothing is inherited
-    assert demands({"a": Demand(0), "b": Demand(0)}, {"a": 5.0, "b": 30.0}, {"a": ["b"]})["a"].soft == math.inf
+    assert demands({"a": Demand(0), "b": Demand(0)}, {"a": 5.0, "b": 30.0}, {"a": ["b"]})["a"].soft_deadline == math.inf
 
 
 def test_demands_of_a_deep_chain_need_no_recursion():
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -131,7 +131,7 @@
     """The borrower has waited for longest; the small team is owed four tasks of eight."""
     places = [place(f"m{number}") for number in range(3)]  # two tasks fit on each
     greedy = want("greedy", team="greedy", tasks=10)
-    greedy.reserved_since = greedy.value.soft
+    greedy.reserved_since = greedy.value.soft_deadline
     small = want("small", team="small", tasks=8)
     owed = {"small": GuaranteeBalance(16.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
     placements = map_tasks([greedy, small], places, 0.0, 60.0, owed)
@@ -141,12 +141,12 @@
 
 def test_a_gang_is_owed_only_if_all_of_it_is_within_the_guarantee():
     greedy = want("greedy", team="greedy", tasks=6)
-    greedy.reserved_since = greedy.value.soft
+    greedy.reserved_since = greedy.value.soft_deadline
     gang = want("gang", team="small", kind="gang", tasks=3)
     places = [place(f"m{number}") for number in range(2)]
     assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 0
     greedy = want("greedy", team="greedy", tasks=6)
-    greedy.reserved_since = greedy.value.soft
+    greedy.reserved_since = greedy.value.soft_deadline
     gang = want("gang", team="small", kind="gang", tasks=3)
     places = [place(f"m{number}") for number in range(2)]
     assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(12.0, 0.0)}), "gang") == 3
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -42,7 +42,7 @@
 
     @classmethod
     def of(cls, request: TaskRequest) -> _RequestRank:
-        return cls(not request.service, -request.value.start, request.value.soft, request.job)
+        return cls(not request.service, -request.value.starting_value, request.value.soft_deadline, request.job)
 
 
 class _OfferRank(NamedTuple):
@@ -129,7 +129,7 @@
         """How many of the waiting tasks must run side by side for the job to make its soft deadline."""
         side_by_side = request.waiting
         if not request.service and request.spec.kind != "gang":
-            left = request.value.soft - self._now
+            left = request.value.soft_deadline - self._now
             rounds = max(1, math.floor(left / max(WRONG_BY * request.estimate, LEAST_RUN_S)))
             side_by_side = math.ceil(request.waiting / rounds)
         return min(side_by_side, request.headroom, request.waiting)
@@ -138,7 +138,7 @@
         """Seconds that a request's tasks may wait for others to end; a service's replicas don't wait."""
         if request.service:
             return 0.0
-        until_latest_start = request.value.soft - self._now - WRONG_BY * request.estimate
+        until_latest_start = request.value.soft_deadline - self._now - WRONG_BY * request.estimate
         return max(0.0, min(SPARE * until_latest_start, request.start_by - self._now))
 
     def _zone_for_gang(self, request: TaskRequest, offers: list[Offer], by: float, fitting_types: set[str]) -> str:
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -275,8 +275,8 @@
         """
         reserved_from = job.since + self.reserved_after_s
         if not job.started and clock > reserved_from:
-            return min(reserved_from, value.soft)
-        return value.soft if is_reserved(value, clock) else None
+            return min(reserved_from, value.soft_deadline)
+        return value.soft_deadline if is_reserved(value, clock) else None
 
     def _demand(self, job: Job, estimate: float) -> Demand:
         return self._demands.get(job.id) or self._own_demand(job, estimate)
--- a/tidebend/scheduling/mapping_event.py
+++ b/tidebend/scheduling/mapping_event.py
@@ -71,8 +71,10 @@
     @staticmethod
     def _guaranteed_or_of_higher_priority(batch: list[TaskRequest], guaranteed: frozenset[str]) -> list[TaskRequest]:
         """Guaranteed requests, and borrowed ones whose starting value is above the least of the guaranteed."""
-        least_value = min((request.value.start for request in batch if request.job in guaranteed), default=math.inf)
-        return [request for request in batch if request.job in guaranteed or request.value.start > least_value]
+        least_value = min(
+            (request.value.starting_value for request in batch if request.job in guaranteed), default=math.inf
+        )
+        return [request for request in batch if request.job in guaranteed or request.value.starting_value > least_value]
 
     def _reservations_then_pick(self, requests: list[TaskRequest], guaranteed: frozenset[str] = frozenset()) -> None:
         """Place standing reservations one by one, the oldest first; then pick among the others."""
--- a/tidebend/scheduling/value_functions.py
+++ b/tidebend/scheduling/value_functions.py
@@ -24,21 +24,21 @@
 class Value:
     """The paper's value function: constant to the soft deadline, linear to the hard one, then nothing."""
 
-    start: float
-    final: float  # value at the hard deadline
-    soft: float
-    hard: float
+    starting_value: float
+    final_value: float  # at the hard deadline
+    soft_deadline: float
+    hard_deadline: float
 
     def at(self, finish: float) -> float:
         """The value of a task that ends then."""
-        if finish <= self.soft:
-            return self.start
-        if finish > self.hard:
+        if finish <= self.soft_deadline:
+            return self.starting_value
+        if finish > self.hard_deadline:
             return 0.0
-        span = self.hard - self.soft
+        span = self.hard_deadline - self.soft_deadline
         if span <= 0:
-            return self.final
-        return self.start - (self.start - self.final) * (finish - self.soft) / span
+            return self.final_value
+        return self.starting_value - (self.starting_value - self.final_value) * (finish - self.soft_deadline) / span
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,15 +46,15 @@
     """What a job, and all jobs that need it, ask of it: a priority, and by when it must end for their deadlines."""
 
     rank: int  # the greatest priority, as an index of `PRIORITIES`
-    soft: float = math.inf
-    hard: float = math.inf
+    soft_deadline: float = math.inf
+    hard_deadline: float = math.inf
 
     def joined_with(self, dependent: Demand, length: float) -> Demand:
         """With the demand of a job that needs this one and takes so many seconds after it."""
         return Demand(
             max(self.rank, dependent.rank),
-            min(self.soft, dependent.soft - length),
-            min(self.hard, dependent.hard - length),
+            min(self.soft_deadline, dependent.soft_deadline - length),
+            min(self.hard_deadline, dependent.hard_deadline - length),
         )
 
 
@@ -106,11 +106,11 @@
     """
     start = WORTH_PER_PRIORITY**demand.rank * (GUARANTEE_WORTH if within_guarantee else 1.0)
     final = start * FINAL_SHARE
-    if demand.soft == math.inf:
+    if demand.soft_deadline == math.inf:
         return Value(start, final, since + estimate, since + estimate + max(estimate, EPSILON))
-    return Value(start, final, demand.soft, max(demand.hard, demand.soft + EPSILON))
+    return Value(start, final, demand.soft_deadline, max(demand.hard_deadline, demand.soft_deadline + EPSILON))
 
 
 def is_reserved(value: Value, now: float) -> bool:
     """Past the soft deadline a task keeps a standing reservation, as long as it is worth anything."""
-    return value.soft < now <= value.hard
+    return value.soft_deadline < now <= value.hard_deadline
