--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -20,7 +20,7 @@
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.controller.records.record_limits import packed_bytes
 from tidebend.coordination import shard_of
-from tidebend.kvclient import OutcomeUnknownError
+from tidebend.kvclient import NEVER, OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
 from tidebend.scheduling import CandidateMachine, Placement, TaskRequest, Timeline, own_demand, value_of
 from tidebend.transport import NoAnswer
@@ -120,7 +120,7 @@
 def test_a_deposed_holder_claims_nothing(world):
     first, second = stale_pair(world, a=spec())
     grant = first.coordinator.grant("north.0")
-    second.coordinator._put_block("north.0", grant.token, "n1", second.coordinator.lease)
+    second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
     assert allocation(first, "a", "vm-000000", 1, dict([first.coordinator.condition(grant)])) is None
 
 
@@ -142,9 +142,9 @@
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
     first, _ = stale_pair(world)
-    first.coordinator._held.clear()
+    first.coordinator.holdings._held.clear()
     first.cache.barrier = lambda timeout, kind="poll": False
-    first.coordinator._take_up()
+    first.coordinator.holdings.refresh()
     assert first.coordinator.grant("north.0") is None
 
 
@@ -152,9 +152,9 @@
     """A controller was out of touch, and its block went to another: for a moment it acted on its old grant again."""
     first, second = stale_pair(world)
     grant = first.coordinator.grant("north.0")
-    first.coordinator._held.clear()
-    second.coordinator._put_block("north.0", grant.token, "n1", second.coordinator.lease)
-    first.coordinator._take_up()
+    first.coordinator.holdings._held.clear()
+    second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
+    first.coordinator.holdings.refresh()
     assert first.coordinator.grant("north.0") is None
 
 
@@ -239,9 +239,10 @@
 def test_a_rental_name_is_not_used_again_when_the_same_term_comes_back(world):
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None)
     leader.rentals._counter = 5
-    until, leader.coordinator.lease_until = leader.coordinator.lease_until, -1e9
+    session_lease = leader.coordinator.session_lease
+    until, session_lease.valid_until = session_lease.valid_until, NEVER
     leader.rentals.scale_once()
-    leader.coordinator.lease_until = until
+    session_lease.valid_until = until
     leader.rentals.scale_once()
     assert leader.coordinator.term is not None and leader.rentals._counter >= 5
 
@@ -497,7 +498,7 @@
     """A controller that was cut off before it learnt of its grant answers nobody: its zone is given up soon."""
     rentals = world.controllers["n1"].rentals
     now = time.monotonic()
-    rentals.coordinator._at_home["north.0"] = ("n0", now)
+    rentals.coordinator.local_holders.record("north.0", "n0")
     rentals.coordinator.cache.apply([("tidebend/live/node/n0", None, 10**6)])
     rentals.coordinator.is_unreachable_by_all = lambda shard: True
     rentals.peer_exchange.peers["n0"].shards = frozenset(held)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -219,7 +219,8 @@
     """A new lease without an announcement was renewed for ever, and its controller got no block."""
     for world in busy(1, 1.0, 10.0):
         first = first_of(world)
-        lease, first.coordinator.lease = first.coordinator.lease, None
+        session_lease = first.coordinator.session_lease
+        lease, session_lease.lease = session_lease.lease, None
         world.state.end(lease)
         world.late_writes.append((world.now + 0.05, 1.0))
         first.coordinator.renew_lease()
@@ -280,7 +281,8 @@
     for world in busy(1, 1.0, 10.0):
         first = first_of(world)
         world.state.limits["write_rps"] = 0.0
-        first.coordinator._unheard["south.0"] = world.steady + 30.0  # so that there is something to announce
+        # so that there is something to announce
+        first.coordinator.announcement._unreachable_until["south.0"] = world.steady + 30.0
         world.steady += 3.0
         began = world.steady
         assert not first.coordinator.renew_lease()
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -63,10 +63,10 @@
         after = first.coordinator.grant("north.0")
         assert after.token > before.token and after.since > before.since and after.held_since == before.held_since
         # given by whoever leads, another may have heard the machines meanwhile
-        first.coordinator._put_block("north.0", after.token, "n1", world.controllers["n1"].coordinator.lease)
+        first.coordinator.shard_records.grant("north.0", after.token, "n1", world.controllers["n1"].coordinator.lease)
         first.cache.catch_up(0.0, "claim")
         _, version = first.cache.get("tidebend/live/block/north.0")
-        first.coordinator._put_block("north.0", version, "n0", first.coordinator.lease)
+        first.coordinator.shard_records.grant("north.0", version, "n0", first.coordinator.lease)
         world.now += 1.0
         world.steady += 1.0
         first.coordinator.maintain_shards()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -8,7 +8,8 @@
 from tests.test_guards import begun, in_parts, spec
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.coordination.coordinator import ZONE
+from tidebend.coordination import PeerMachine
+from tidebend.coordination.records import ZONE
 from tidebend.zone_failover import IsolationWindow, MachineContents, leave, share_of_tasks, without
 
 HOLD = IsolationWindow(begin=90.0, until=100.0, end=115.0)
@@ -132,6 +133,6 @@
     rentals = world.controllers["n0"].rentals
     peer = rentals.peer_exchange.peers["n1"]
     assert "vm-000000" in rentals.machine_registry.machines
-    peer.machines = [*(peer.machines or ()), ["vm-000000", "", "", 0, 1, "", 0, 0]]
+    peer.machines = [*(peer.machines or ()), PeerMachine.of_released("vm-000000")]
     rentals.check_machines_once()
     assert "vm-000000" not in rentals.machine_registry.machines
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -7,6 +7,7 @@
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 from tidebend import protocol
@@ -23,7 +24,7 @@
 from tidebend.controller.scheduler.scheduling_loop import SchedulingLoop
 from tidebend.controller.workers.heartbeats import CommandDispatcher, HeartbeatHandler
 from tidebend.controller.workers.zone_probe import ZoneProbe
-from tidebend.coordination import Coordinator, PeerExchange, shard_of
+from tidebend.coordination import Coordinator, PeerExchange, PeerFrame, PeerMachine, shard_of
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
 from tidebend.kvclient import FINAL, KeyValueClient, WatchCache
 from tidebend.settings import Settings
@@ -61,7 +62,12 @@
         )
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
         self.coordinator = Coordinator(
-            settings, self.state, self.cache, self.command_dispatcher.on_shard_acquired, self.schema_version
+            settings,
+            self.state,
+            self.cache,
+            self.command_dispatcher.on_shard_acquired,
+            self.schema_version,
+            lambda node, shard: self.peer_exchange.has_reported_holding(node, shard),
         )
         self.quota_rebalancer = QuotaRebalancer(
             settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
@@ -83,8 +89,7 @@
             self.coordinator,
             self.peer_exchange,
         )
-        self.planner.completions.peers_crash_looping = self.peer_exchange.is_crash_looping
-        self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
+        self.planner.completions.peers_crash_looping = self.peer_exchange.crash_looping_jobs
         self.zone_probe = ZoneProbe(settings, self.coordinator, self.peer_exchange, self.machine_registry, connect)
         self.rentals = Rentals(
             settings,
@@ -135,21 +140,22 @@
 
     def peer_frame(self) -> dict[str, Any]:
         machines = [
-            [m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session]
+            PeerMachine(m.name, m.type, m.zone, int(m.spot), 0, *(m.address or ("", 0)), m.session)
             for m in self.machine_registry.all()
             if not m.draining and not m.releasing and self.coordinator.grant(shard_of(m.zone))
         ]
-        machines += [[name, "", "", 0, 1, "", 0, 0] for name in list(self.rentals.recently_released)]
-        frame = {
-            "from": self.settings.name,
-            "state_contact": time.time() - self.cache.age_s,
-            "machines": machines,
-            "held": [grant.shard for grant in self.coordinator.grants()],
-            "blocks": self.coordinator.table(),
-        }
+        machines += [PeerMachine.of_released(name) for name in list(self.rentals.recently_released)]
+        frame = PeerFrame(
+            sender=self.settings.name,
+            state_as_of=time.time() - self.cache.age_s,
+            machines=machines,
+            held_shards=[grant.shard for grant in self.coordinator.grants()],
+            holders=self.coordinator.table(),
+        )
         if self.schema_version.pipelines:
-            frame.update(at_fault=self.planner.completions.crash_looping_jobs(), came=self.zone_probe.report_ages())
-        return frame
+            crash_looping_jobs = self.planner.completions.crash_looping_jobs()
+            frame = replace(frame, crash_looping_jobs=crash_looping_jobs, report_ages_s=self.zone_probe.report_ages())
+        return frame.pack()
 
     def _knows(self) -> bool:
         return self.cache.loaded.is_set() and bool(self.rentals.types)
--- a/tidebend/coordination/__init__.py
+++ b/tidebend/coordination/__init__.py
@@ -1,18 +1,24 @@
-"""Membership, leadership, blocks and their tokens, and what controllers tell each other."""
+"""Membership, leadership, shards and their fencing tokens, and the frames between controllers.
 
-from tidebend.coordination.coordinator import FAILURES, LEADER, NODE, SHARD, Coordinator
+`coordinator` says which module does what.
+"""
+
+from tidebend.coordination.coordinator import Coordinator
 from tidebend.coordination.peer_exchange import PeerExchange, PeerState
-from tidebend.coordination.shards import ShardGrant, shard_of, zone_of
+from tidebend.coordination.peer_frames import InvalidPeerFrameError, PeerFrame, PeerMachine
+from tidebend.coordination.shards import ShardGrant, ShardHolder, shard_of, zone_of
+from tidebend.coordination.zone_suspicion import IsolatedHolder
 
 __all__ = [
-    "SHARD",
-    "FAILURES",
-    "LEADER",
-    "NODE",
     "Coordinator",
-    "ShardGrant",
+    "InvalidPeerFrameError",
+    "IsolatedHolder",
     "PeerExchange",
+    "PeerFrame",
+    "PeerMachine",
     "PeerState",
+    "ShardGrant",
+    "ShardHolder",
     "shard_of",
     "zone_of",
 ]
--- a/tidebend/coordination/peer_exchange.py
+++ b/tidebend/coordination/peer_exchange.py
@@ -1,4 +1,4 @@
-"""What controllers tell each other."""
+"""Sends frames to each peer, and keeps what each peer's last frame said."""
 
 from __future__ import annotations
 
@@ -7,94 +7,108 @@
 import socket
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from typing import Any
 
+from tidebend.coordination.peer_frames import InvalidPeerFrameError, PeerFrame, PeerMachine
+from tidebend.coordination.shards import ShardHolder
+from tidebend.kvclient import NEVER
 from tidebend.settings import Peer, Settings
 from tidebend.transport import FrameServer, receive_frame, send_frame
 
 log = logging.getLogger("coordination")
 
+MAX_PAUSE_S = 1.0
+# a connection on which nothing came for so many pauses is closed
+IDLE_PAUSES = 10.0
+# a frame that isn't acknowledged within so many pauses is given up, and its connection with it
+TIMEOUT_PAUSES = 2.0
+
 
 @dataclass
 class PeerState:
-    """What a peer told us last."""
+    """What a peer's last frame said."""
 
-    at: float = -1e9
-    as_of: float = -1e9  # time of day at which its last completed read of the state service began
-    machines: list[list[Any]] | None = None
+    at: float = NEVER  # steady time at which the frame came
+    as_of: float = NEVER  # time of day at which the peer's last completed read of the key-value store began
+    machines: Sequence[PeerMachine] | None = None  # None: no frame has come yet
     shards: frozenset[str] = frozenset()  # those it holds
-    # what the version in production doesn't tell:
-    is_crash_looping: frozenset[str] = frozenset()  # jobs that failed wherever it tried them
-    report_times: dict[str, float] = field(
-        default_factory=dict
-    )  # block -> steady time at which a worker of it came to it
+    # unknown to a peer before format 2, which then says nothing of them:
+    crash_looping_jobs: frozenset[str] = frozenset()  # jobs that failed wherever it tried them
+    report_times: dict[str, float] = field(default_factory=dict)  # shard -> steady time of a worker's last report to it
+
+    def update(self, frame: PeerFrame, now: float) -> None:
+        """Take over a frame that came at that steady time."""
+        self.as_of = frame.state_as_of
+        self.machines = frame.machines
+        self.shards = frozenset(frame.held_shards)
+        self.crash_looping_jobs = frozenset(frame.crash_looping_jobs or ())
+        self.report_times = {shard: now - age_s for shard, age_s in (frame.report_ages_s or {}).items()}
+        self.at = now
 
 
 class PeerExchange:
-    """Frames to each peer, about once a report interval, with what we know of blocks and machines."""
+    """Sends a frame to each peer about twice in a report interval, and receives theirs."""
 
     def __init__(
-        self, settings: Settings, news: Callable[[], dict[str, Any]], told: Callable[[dict[str, Any]], None]
+        self,
+        settings: Settings,
+        make_frame: Callable[[], dict[str, Any]],
+        on_holders: Callable[[Mapping[str, ShardHolder]], None],
     ) -> None:
+        """`make_frame`: a packed frame of ours; `on_holders` is called with the table of holders of each frame."""
         self.settings = settings
-        self._news = news
-        self._told = told
-        self.pause = min(1.0, settings.report_s / 2.0)
+        self._make_frame = make_frame
+        self._on_holders = on_holders
+        self.pause = min(MAX_PAUSE_S, settings.report_s / 2.0)  # seconds from one frame to the next
         self.peers: dict[str, PeerState] = {peer.name: PeerState() for peer in settings.peers}
 
     def start(self) -> None:
-        server = FrameServer(self.settings.peer_listen, self.receive, 10.0 * self.pause)
+        """Listen for the peers' frames, and start a thread for each peer that sends ours."""
+        server = FrameServer(self.settings.peer_listen, self.receive, IDLE_PAUSES * self.pause)
         threading.Thread(target=server.serve_forever, name="peers", daemon=True).start()
         for peer in self.settings.peers:
             threading.Thread(target=self._send, args=(peer,), name=f"to-{peer.name}", daemon=True).start()
 
-    def receive(self, frame: Any) -> None:
-        if not isinstance(frame, dict):
+    def receive(self, packed: Any) -> None:
+        """Take over a frame as a whole; one that can't be read changes nothing and is logged."""
+        if not isinstance(packed, dict):
             return
-        news = self.peers.get(frame.get("from", ""))
-        if news is None:
+        state = self.peers.get(packed.get("from", ""))
+        if state is None:
             return
         now = time.monotonic()
         try:
-            as_of = float(frame["state_contact"])  # named as the version in production does
-            machines, shards = list(frame["machines"]), frozenset(frame["held"])
-            is_crash_looping = frozenset(frame.get("at_fault", ()))
-            came = {shard: now - float(ago) for shard, ago in frame.get("came", {}).items()}
-            self._told(frame["blocks"])
-        except (AttributeError, KeyError, TypeError, ValueError) as error:
-            log.error("peer frame: %r", error)
+            frame = PeerFrame.unpack(packed)
+        except InvalidPeerFrameError as error:
+            log.error("peer frame: %s", error)
             return
-        # all of it or nothing: a frame that can't be read isn't half taken over
-        news.as_of, news.machines, news.shards, news.is_crash_looping, news.report_times = (
-            as_of,
-            machines,
-            shards,
-            is_crash_looping,
-            came,
-        )
-        news.at = now
+        self._on_holders(frame.holders)
+        state.update(frame, now)
 
-    def is_crash_looping(self) -> frozenset[str]:
-        """Jobs that failed wherever some other controller tried them, by news that is no older than a lease."""
+    def crash_looping_jobs(self) -> frozenset[str]:
+        """Jobs that failed wherever some other controller tried them, by frames no older than a worker's lease."""
         now = time.monotonic()
         return frozenset().union(
-            *(peer.is_crash_looping for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
+            *(peer.crash_looping_jobs for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
         )
 
+    def has_reported_holding(self, node: str, shard: str) -> bool:
+        """Whether a peer said in its last frame that it holds a shard; KeyError for a name that is no peer's."""
+        return shard in self.peers[node].shards
+
     def last_report(self, shard: str) -> float:
-        """Steady time at which a worker of a block last came to some other controller."""
-        return max((peer.report_times.get(shard, -1e9) for peer in self.peers.values()), default=-1e9)
+        """Steady time at which a worker of the shard last reported to some other controller; else NEVER."""
+        return max((peer.report_times.get(shard, NEVER) for peer in self.peers.values()), default=NEVER)
 
     def _send(self, peer: Peer) -> None:
         stream: socket.socket | None = None
         while True:
             try:
                 if stream is None:
-                    stream = socket.create_connection(peer.address, timeout=2.0 * self.pause)
-                    stream.settimeout(2.0 * self.pause)
-                send_frame(stream, self._news())
+                    stream = self._connect(peer)
+                send_frame(stream, self._make_frame())
                 receive_frame(stream)
             except OSError as error:
                 log.debug("peer %s: %s", peer.name, error)
@@ -102,3 +116,9 @@
                     stream.close()
                     stream = None
             time.sleep(self.pause * random.uniform(0.8, 1.2))
+
+    def _connect(self, peer: Peer) -> socket.socket:
+        timeout_s = TIMEOUT_PAUSES * self.pause
+        stream = socket.create_connection(peer.address, timeout=timeout_s)
+        stream.settimeout(timeout_s)
+        return stream
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -9,20 +9,29 @@
 
 import logging
 import sys
+from collections.abc import Mapping
+from typing import Any
 
-from tidebend.kvclient import LIVE, KeyValueClient, NotExecutedError, OutcomeUnknownError, WatchCache
+from tidebend.coordination.records import FORMAT, READS, FormatRecord, ReadsRecord
+from tidebend.kvclient import KeyValueClient, NotExecutedError, OutcomeUnknownError, RequestKind, WatchCache
 from tidebend.settings import Settings
 
+__all__ = ["FORMAT", "NEWEST", "PIPELINES", "READS", "SchemaVersion", "show"]
+
 log = logging.getLogger("formats")
 
-FORMAT = LIVE + "format"
-READS = LIVE + "reads/"
+FIRST = 1
 PIPELINES = 2
 NEWEST = PIPELINES
 
+SHOW_TIMEOUT_S = 2.0
+
 
 class SchemaVersion:
+    """The format in force, as of the cache, and what is done to raise it."""
+
     def __init__(self, settings: Settings, state: KeyValueClient, cache: WatchCache) -> None:
+        """The controllers whose announcements are waited for are those of the settings."""
         self.settings = settings
         self.state = state
         self.cache = cache
@@ -31,47 +40,66 @@
     def version(self) -> int:
         """The format in force, as far as we have read: it only grows, so that acting on an old reading is safe."""
         value, _ = self.cache.get(FORMAT)
-        return value["version"] if value else 1
+        return _version_in_force(value)
 
     @property
     def pipelines(self) -> bool:
+        """Whether records may hold what came with pipelines."""
         return self.version >= PIPELINES
 
     def announce(self) -> None:
-        """Tell what this process reads. It stays when the process ends, which comes back no older."""
+        """Write the newest format that this process reads, unless that is on record.
+
+        It stays when the process ends, which comes back no older. Raises as the client does.
+        """
         key = READS + self.settings.name
         value, version = self.cache.get(key)
-        if value is None or value["newest"] < NEWEST:
-            self._put(key, {"newest": NEWEST}, {key: version})
+        if _newest_read(value) < NEWEST:
+            self._put(key, ReadsRecord(NEWEST).pack(), {key: version})
+
+    def raise_if_all_read(self, leader: Mapping[str, int]) -> None:
+        """Raise the format if all controllers read it; `leader` is the condition that we still lead.
 
-    def raise_if_all_read(self, leader: dict[str, int]) -> None:
-        """The leader raises the format; `leader` is the condition that it still leads."""
+        Raises as the client does.
+        """
         if self.version >= NEWEST:
             return
         conditions = dict(leader)
-        for name in (self.settings.name, *(peer.name for peer in self.settings.peers)):
+        for name in _controllers(self.settings):
             value, version = self.cache.get(READS + name)
-            if value is None or value["newest"] < NEWEST:
+            if _newest_read(value) < NEWEST:
                 return
             conditions[READS + name] = version
         _, version = self.cache.get(FORMAT)
-        self._put(FORMAT, {"version": NEWEST}, {**conditions, FORMAT: version})
+        self._put(FORMAT, FormatRecord(NEWEST).pack(), {**conditions, FORMAT: version})
         log.info("format %d is in force from now on; there is no way back below it", NEWEST)
 
-    def _put(self, key: str, value: dict[str, int], conditions: dict[str, int]) -> None:
-        self.cache.write(conditions, [(key, value, None)], "lease")
+    def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> None:
+        self.cache.write(conditions, [(key, value, None)], RequestKind.LEASE)
 
 
 def show(settings: Settings) -> int:
-    """For operators: what is in force, and whom the next format waits for."""
-    state = KeyValueClient(settings.state, settings.state_limits, settings.controllers, timeout=2.0)
+    """Print for operators what is in force, and whom the next format waits for; returns the exit status."""
+    client = KeyValueClient(settings.state, settings.state_limits, settings.controllers, timeout=SHOW_TIMEOUT_S)
     try:
-        value, _ = state.get(FORMAT)
-        print(f"format {value['version'] if value else 1} is in force")
-        for name in sorted((settings.name, *(peer.name for peer in settings.peers))):
-            value, _ = state.get(READS + name)
-            print(f"{name} reads up to format {value['newest'] if value else 1}")
+        value, _ = client.get(FORMAT)
+        print(f"format {_version_in_force(value)} is in force")
+        for name in sorted(_controllers(settings)):
+            value, _ = client.get(READS + name)
+            print(f"{name} reads up to format {_newest_read(value)}")
     except (NotExecutedError, OutcomeUnknownError) as error:
         print(f"tidebend: the state service can't be read: {error}", file=sys.stderr)
         return 1
     return 0
+
+
+def _controllers(settings: Settings) -> tuple[str, ...]:
+    return settings.name, *(peer.name for peer in settings.peers)
+
+
+def _version_in_force(value: Any) -> int:
+    return FormatRecord.unpack(value).version if value else FIRST
+
+
+def _newest_read(value: Any) -> int:
+    return ReadsRecord.unpack(value).newest if value else FIRST
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -1,19 +1,35 @@
-"""The state service's client, and a cache of its keys that knows how old it is."""
+"""The key-value store's client, and a cache of its keys that knows how old it is."""
 
 from tidebend.kvclient.client import KeyValueClient
-from tidebend.kvclient.errors import ConflictError, LeaseNotFoundError, NotExecutedError, OutcomeUnknownError, Refused
+from tidebend.kvclient.errors import (
+    ConflictError,
+    KeyValueError,
+    LeaseNotFoundError,
+    NotExecutedError,
+    OutcomeUnknownError,
+    OverBudgetError,
+    Refused,
+    TransactionTooLargeError,
+)
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
+from tidebend.kvclient.request_kinds import RequestKind
+from tidebend.kvclient.steady_time import NEVER
 from tidebend.kvclient.watch_cache import WatchCache
 
 __all__ = [
     "FINAL",
     "LIVE",
+    "NEVER",
     "PREFIX",
     "ConflictError",
-    "WatchCache",
-    "LeaseNotFoundError",
-    "Refused",
     "KeyValueClient",
+    "KeyValueError",
+    "LeaseNotFoundError",
     "NotExecutedError",
     "OutcomeUnknownError",
+    "OverBudgetError",
+    "Refused",
+    "RequestKind",
+    "TransactionTooLargeError",
+    "WatchCache",
 ]
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -9,7 +9,14 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.kvclient.errors import ConflictError, LeaseNotFoundError, NotExecutedError, OutcomeUnknownError, Refused
+from tidebend.kvclient.errors import (
+    ConflictError,
+    LeaseNotFoundError,
+    NotExecutedError,
+    OutcomeUnknownError,
+    OverBudgetError,
+    TransactionTooLargeError,
+)
 from tidebend.protocol import Write
 from tidebend.settings import Limits
 from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
@@ -84,7 +91,7 @@
         deadline = time.monotonic() + patience
         floor = FLOORS[kind]
         if kind == "submit" and not self._submissions.take(writes):
-            raise NotExecutedError("over budget")
+            raise OverBudgetError
         while True:
             if self._requests.take(1.0, floor):
                 if not writes or self._writes.take(writes, floor):
@@ -102,7 +109,7 @@
                 else:
                     self._requests.give_back(1.0)
             if time.monotonic() >= deadline:
-                raise NotExecutedError("over budget")
+                raise OverBudgetError
             time.sleep(random.uniform(0.5, 1.5) / self._requests.rate)
         if status == 503:
             raise NotExecutedError("refused")
@@ -132,7 +139,7 @@
             raise LeaseNotFoundError
         if status == 400:
             log.error("state service: a transaction of %d changes is refused: %s", len(writes), answer)
-            raise Refused("refused by its size")
+            raise TransactionTooLargeError
         log.error("state service: unexpected %s to a transaction: %s", status, answer)
         raise OutcomeUnknownError(f"unexpected status {status}")
 
