--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -5,8 +5,20 @@
 
 import pytest
 
-from tidebend.kvclient import KeyValueClient, WatchCache
+from tidebend.kvclient import (
+    ConflictError,
+    KeyValueClient,
+    KeyValueError,
+    LeaseNotFoundError,
+    NotExecutedError,
+    OutcomeUnknownError,
+    OverBudgetError,
+    RequestKind,
+    TransactionTooLargeError,
+    WatchCache,
+)
 from tidebend.settings import Limits
+from tidebend.transport import NoAnswer, Unreachable
 
 LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
 
@@ -31,7 +43,7 @@
 def cache():
     made = WatchCache(Counted(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     made.catch_up(0.0, "claim")
-    threading.Thread(target=made._reader, daemon=True).start()
+    threading.Thread(target=made.read_barrier.run, daemon=True).start()
     return made
 
 
@@ -93,3 +105,55 @@
     client._http.left = 6
     client.grant_lease(3.5)
     assert client.poll_pause_s > 4 * often
+
+
+class Answering:
+    """Gives each request the same answer, or fails with it."""
+
+    def __init__(self, outcome):
+        self.outcome = outcome
+
+    def request(self, method, path, body, timeout):
+        if isinstance(self.outcome, Exception):
+            raise self.outcome
+        return self.outcome
+
+
+def client_of(outcome, limits=LIMITS):
+    return KeyValueClient(("state", 1), limits, 3, 0.9, connect=lambda address, keep: Answering(outcome))
+
+
+@pytest.mark.parametrize(
+    ("outcome", "expected"),
+    [
+        ((409, {"failed": ["a"]}), ConflictError),
+        ((400, {"error": "no such lease"}), LeaseNotFoundError),
+        ((400, {"error": "too large"}), TransactionTooLargeError),
+        ((429, {}), OverBudgetError),
+        ((503, {}), NotExecutedError),
+        ((500, {}), OutcomeUnknownError),
+        ((200, {}), OutcomeUnknownError),  # without a revision
+        (Unreachable("no route"), NotExecutedError),
+        (NoAnswer("timed out"), OutcomeUnknownError),
+    ],
+)
+def test_each_outcome_of_a_transaction_has_its_type_and_what_was_not_executed_says_so(outcome, expected):
+    with pytest.raises(KeyValueError) as raised:
+        client_of(outcome).transact({}, [("a", 1, None)], patience=0.0)
+    assert type(raised.value) is expected
+
+
+def test_requests_beyond_our_own_share_are_not_sent():
+    client = client_of((200, {"logline": 1}), Limits(rps=60.0, write_rps=3.0, value_bytes=8192, txn_ops=12))
+    with pytest.raises(OverBudgetError) as raised:
+        client.transact({}, [("a", 1, None)] * 5, patience=0.0)
+    # by its text users are told that there are too many requests
+    assert isinstance(raised.value, NotExecutedError) and str(raised.value) == "over budget"
+
+
+def test_a_kind_of_request_may_be_given_as_a_string():
+    client = client_of((200, {"logline": 1}))
+    for kind in RequestKind:
+        assert client.transact({}, [("a", 1, None)], kind=str(kind)) == 1
+    with pytest.raises(ValueError, match="other"):
+        client.transact({}, [("a", 1, None)], kind="other")
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -1,12 +1,12 @@
-"""The state service's client, within its budget."""
+"""The key-value store's client, within its budget of requests."""
 
 from __future__ import annotations
 
 import logging
-import random
 import time
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, TypeVar
 
 from tidebend import protocol
 from tidebend.kvclient.errors import (
@@ -17,31 +17,54 @@
     OverBudgetError,
     TransactionTooLargeError,
 )
+from tidebend.kvclient.request_budget import RequestBudget
+from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.protocol import Write
 from tidebend.settings import Limits
-from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswer, Unreachable
 
 log = logging.getLogger("storage")
 
-# The share of a second's budget that must be left after a request of each kind. Renewals of our own lease
-# aren't held back at all. Submissions are few, and their users wait for them: they find room when claims and ends
-# don't, which may be late by a moment; polls come last.
-FLOORS = {"lease": -1.0, "submit": 0.0, "claim": 0.2, "poll": 0.35}
-# ... but a flood of submissions takes no more than this share of our changes
-SUBMIT_SHARE = 0.5
-# watches take no more than this share of the service's requests: changes that follow closely are read together
-WATCH_SHARE = 0.25
-# ... and reads for users' polls alone no more than the first of these, or the second while requests are refused for the
-# rate. They keep the cache young besides, so that claims collide less: they are held back only where they must be.
-POLL_SHARE = 1.0
-POLL_SHARE_BUSY = 0.15
-# some are always refused, since our share is more than an equal one: beyond this share of the service's requests the
-# polls are held back, for so many of our time-outs
-REFUSED_SHARE = 0.05
-BUSY_TIMEOUTS = 10.0
+MAX_CONNECTIONS = 6
+ITEMS_PER_PAGE = 500
+# a page of items may take so many times as long as another request
+PAGE_TIMEOUTS = 2.0
+# Requests for which a lease or a user waits are tried again for this share of a time-out if they are over budget or
+# refused for their rate. Guards them against the other controllers' requests: together they may take more than the
+# store has.
+PATIENCE_SHARE = 0.5
+DEFAULT_WRITE_PATIENCE_S = 0.5
+PAGE_PATIENCE_S = 1.0
+
+OK = 200
+BAD_REQUEST = 400
+NOT_FOUND = 404
+CONFLICT = 409
+GONE = 410
+TOO_MANY_REQUESTS = 429
+UNAVAILABLE = 503
+
+Parsed = TypeVar("Parsed")
+Row = tuple[str, Any, int]  # key, value, version; in a list of changes a value of None is a deletion
+
+
+@dataclass(frozen=True, slots=True)
+class _Request:
+    method: str
+    path: str
+    kind: RequestKind
+    body: Any = None
+    writes: int = 0  # how many changes it makes
+    timeout_s: float | None = None  # None: that of the client
+    patience_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
 
 
 class KeyValueClient:
+    """Requests to the store; any thread may make them.
+
+    Unless a method says otherwise it raises NotExecutedError (also OverBudgetError) or OutcomeUnknownError.
+    """
+
     def __init__(
         self,
         address: tuple[str, int],
@@ -50,159 +73,162 @@
         timeout: float,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        self._http = connect(address, keep=6)
-        # A controller's share is more than an equal one, since the others seldom use theirs in the same second;
-        # when they do, the service refuses, which is safe, and the refused back off.
-        self._share = min(1.0, 1.8 / controllers)
-        self._controllers = controllers
-        self._requests = Budget(limits.rps * self._share)
-        self._writes = Budget(limits.write_rps * self._share)
-        self._submissions = Budget(SUBMIT_SHARE * self.writes_per_s)
-        self._pauses(limits)
+        """`controllers`: how many share the store's limits; `timeout`: of a request, in seconds."""
+        self._http = connect(address, keep=MAX_CONNECTIONS)
+        self._budget = RequestBudget(limits, controllers, timeout)
         self.timeout = timeout
-        # Guards our lease, and users who wait for a read, against the others' requests: together they may take more
-        # than the service has, and what it refuses for that is tried again for so long.
-        self._patience_s = 0.5 * timeout
-        self._refusals = Budget(REFUSED_SHARE * limits.rps)
-        self._busy_until = -1e9  # steady time
+        self._patience_s = PATIENCE_SHARE * timeout
 
-    def _pauses(self, limits: Limits) -> None:
-        self.watch_pause_s = self._controllers / (WATCH_SHARE * limits.rps)
-        self._poll_pauses_s = [self._controllers / (share * limits.rps) for share in (POLL_SHARE, POLL_SHARE_BUSY)]
+    @property
+    def watch_pause_s(self) -> float:
+        """How long to wait between two watches."""
+        return self._budget.watch_pause_s
 
     @property
     def poll_pause_s(self) -> float:
         """How far apart reads for polls alone begin."""
-        return self._poll_pauses_s[time.monotonic() < self._busy_until]
+        return self._budget.poll_pause_s
 
     @property
     def writes_per_s(self) -> float:
-        return self._writes.rate
+        """How many changes we may make in a second."""
+        return self._budget.writes_per_s
 
     def keep_within(self, limits: Limits) -> None:
-        self._requests.change(limits.rps * self._share)
-        self._writes.change(limits.write_rps * self._share)
-        self._submissions.change(SUBMIT_SHARE * self.writes_per_s)
-        self._pauses(limits)
-
-    def _call(
-        self, method: str, path: str, body: Any, kind: str, writes: int = 0, timeout: float = 0.0, patience: float = 0.0
-    ) -> tuple[int, Any]:
-        deadline = time.monotonic() + patience
-        floor = FLOORS[kind]
-        if kind == "submit" and not self._submissions.take(writes):
-            raise OverBudgetError
-        while True:
-            if self._requests.take(1.0, floor):
-                if not writes or self._writes.take(writes, floor):
-                    try:
-                        status, answer = self._http.request(method, path, body, timeout or self.timeout)
-                    except Unreachable as error:
-                        raise NotExecutedError(str(error)) from error
-                    except NoAnswer as error:
-                        raise OutcomeUnknownError(str(error)) from error
-                    if status != 429:
-                        break
-                    if not self._refusals.take(1.0):
-                        self._busy_until = time.monotonic() + BUSY_TIMEOUTS * self.timeout
-                    # not executed; our share is more than an equal one, and the others have used theirs
-                else:
-                    self._requests.give_back(1.0)
-            if time.monotonic() >= deadline:
-                raise OverBudgetError
-            time.sleep(random.uniform(0.5, 1.5) / self._requests.rate)
-        if status == 503:
-            raise NotExecutedError("refused")
-        return status, answer
+        """Take over other limits of the store."""
+        self._budget.keep_within(limits)
 
     def transact(
-        self, conditions: dict[str, int], writes: list[Write], kind: str = "claim", patience: float = 0.5
+        self,
+        conditions: dict[str, int],
+        writes: list[Write],
+        kind: str = RequestKind.CLAIM,
+        patience: float = DEFAULT_WRITE_PATIENCE_S,
     ) -> int:
-        """Returns the revision; raises Conflict, NoSuchLease, Refused, Unavailable or Unknown."""
+        """Make the changes, all or none, if each key of `conditions` has that version; returns the revision.
+
+        Raises ConflictError, LeaseNotFoundError, TransactionTooLargeError, NotExecutedError or OutcomeUnknownError.
+        """
         log.debug("%s: %d changes of %s", kind, len(writes), " ".join(key for key, _, _ in writes))
-        status, answer = self._call(
+        request = _Request(
             "POST",
             protocol.PATH_TRANSACTION,
+            RequestKind(kind),
             protocol.transaction(conditions, writes),
-            kind,
-            len(writes),
-            patience=patience,
+            writes=len(writes),
+            patience_s=patience,
         )
-        try:
-            if status == 200:
-                return protocol.parse_revision(answer)
-            if status == 409:
-                raise ConflictError([str(key) for key in (answer or {}).get("failed", [])])
-        except protocol.Invalid as error:
-            raise OutcomeUnknownError(str(error)) from error
-        if status == 400 and isinstance(answer, dict) and answer.get("error") == "no such lease":
-            raise LeaseNotFoundError
-        if status == 400:
-            log.error("state service: a transaction of %d changes is refused: %s", len(writes), answer)
-            raise TransactionTooLargeError
-        log.error("state service: unexpected %s to a transaction: %s", status, answer)
-        raise OutcomeUnknownError(f"unexpected status {status}")
+        status, answer = self._call(request)
+        if status == OK:
+            return _parse(protocol.parse_revision, answer)
+        raise _transaction_error(status, answer, len(writes))
 
-    def get(self, key: str, kind: str = "poll", patience: float = 0.0) -> tuple[Any, int]:
+    def get(self, key: str, kind: str = RequestKind.POLL, patience: float = 0.0) -> tuple[Any, int]:
         """The value and its version, (None, 0) if there is no such key."""
-        status, answer = self._call("GET", protocol.key_path(key), None, kind, patience=patience)
-        if status == 404:
+        status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), patience_s=patience))
+        if status == NOT_FOUND:
             return None, 0
-        if status != 200:
-            raise OutcomeUnknownError(f"unexpected status {status}")
-        try:
-            return protocol.parse_item(answer)
-        except protocol.Invalid as error:
-            raise OutcomeUnknownError(str(error)) from error
+        _expect_ok(status)
+        return _parse(protocol.parse_item, answer)
 
-    def items(self, prefix: str, after: str | None) -> tuple[list[tuple[str, Any, int]], bool, int]:
-        status, answer = self._call(
-            "GET", protocol.range_path(prefix, after, 500), None, "claim", timeout=2 * self.timeout, patience=1.0
+    def items(self, prefix: str, after: str | None) -> tuple[list[Row], bool, int]:
+        """A page of the keys under a prefix, in their order, and whether there are more, and the revision."""
+        request = _Request(
+            "GET",
+            protocol.range_path(prefix, after, ITEMS_PER_PAGE),
+            RequestKind.CLAIM,
+            timeout_s=PAGE_TIMEOUTS * self.timeout,
+            patience_s=PAGE_PATIENCE_S,
         )
-        if status != 200:
-            raise OutcomeUnknownError(f"unexpected status {status}")
-        try:
-            return protocol.parse_items(answer)
-        except protocol.Invalid as error:
-            raise OutcomeUnknownError(str(error)) from error
+        status, answer = self._call(request)
+        _expect_ok(status)
+        return _parse(protocol.parse_items, answer)
 
-    def changes(
-        self, prefix: str, revision: int, wait_s: float, kind: str
-    ) -> tuple[list[tuple[str, Any, int]], int] | None:
-        """None if the revision is too old."""
-        status, answer = self._call(
+    def changes(self, prefix: str, revision: int, wait_s: float, kind: str) -> tuple[list[Row], int] | None:
+        """What has changed under a prefix since a revision, and the revision that this brings us to.
+
+        Waits for up to `wait_s` until there is something. None if the store doesn't know that revision any more.
+        """
+        request = _Request(
             "GET",
             protocol.changes_path(prefix, revision, int(wait_s * 1000)),
-            None,
-            kind,
-            timeout=wait_s + self.timeout,
-            patience=0.0 if wait_s else self._patience_s,
+            RequestKind(kind),
+            timeout_s=wait_s + self.timeout,
+            patience_s=0.0 if wait_s else self._patience_s,
         )
-        if status == 410:
+        status, answer = self._call(request)
+        if status == GONE:
             return None
-        if status != 200:
-            raise OutcomeUnknownError(f"unexpected status {status}")
-        try:
-            return protocol.parse_changes(answer)
-        except (protocol.Invalid, KeyError, TypeError) as error:
-            raise OutcomeUnknownError(str(error)) from error
+        _expect_ok(status)
+        return _parse(protocol.parse_changes, answer, (protocol.Invalid, KeyError, TypeError))
 
     def grant_lease(self, seconds: float) -> int:
-        status, answer = self._call(
-            "POST", protocol.PATH_LEASES, protocol.lease_request(seconds), "lease", patience=self._patience_s
-        )
-        if status != 200:
-            raise OutcomeUnknownError(f"unexpected status {status}")
-        try:
-            return protocol.parse_lease(answer)
-        except protocol.Invalid as error:
-            raise OutcomeUnknownError(str(error)) from error
+        """A new lease of that length; returns its number."""
+        status, answer = self._lease_call(protocol.PATH_LEASES, protocol.lease_request(seconds))
+        _expect_ok(status)
+        return _parse(protocol.parse_lease, answer)
 
     def extend_lease(self, lease: int) -> bool:
-        """False if the lease has ended."""
-        status, _ = self._call("POST", protocol.lease_path(lease, "/extend"), None, "lease", patience=self._patience_s)
-        if status == 404:
+        """Have a lease begin anew; False if it has ended."""
+        status, _ = self._lease_call(protocol.lease_path(lease, "/extend"), None)
+        if status == NOT_FOUND:
             return False
-        if status != 200:
-            raise OutcomeUnknownError(f"unexpected status {status}")
+        _expect_ok(status)
         return True
+
+    def _lease_call(self, path: str, body: Any) -> tuple[int, Any]:
+        return self._call(_Request("POST", path, RequestKind.LEASE, body, patience_s=self._patience_s))
+
+    def _call(self, request: _Request) -> tuple[int, Any]:
+        """The status and the answer; tried again while the request's patience lasts."""
+        deadline = time.monotonic() + request.patience_s
+        if request.kind == RequestKind.SUBMIT and not self._budget.take_submissions(request.writes):
+            raise OverBudgetError
+        while True:
+            if self._budget.take(request.kind, request.writes):
+                status, answer = self._send(request)
+                if status != TOO_MANY_REQUESTS:
+                    break
+                self._budget.record_rate_refusal()
+            if time.monotonic() >= deadline:
+                raise OverBudgetError
+            time.sleep(self._budget.retry_pause_s())
+        if status == UNAVAILABLE:
+            raise NotExecutedError("refused")
+        return status, answer
+
+    def _send(self, request: _Request) -> tuple[int, Any]:
+        try:
+            return self._http.request(request.method, request.path, request.body, request.timeout_s or self.timeout)
+        except Unreachable as error:
+            raise NotExecutedError(str(error)) from error
+        except NoAnswer as error:
+            raise OutcomeUnknownError(str(error)) from error
+
+
+def _expect_ok(status: int) -> None:
+    if status != OK:
+        raise OutcomeUnknownError(f"unexpected status {status}")
+
+
+def _parse(
+    parse: Callable[[Any], Parsed], answer: Any, malformed: tuple[type[Exception], ...] = (protocol.Invalid,)
+) -> Parsed:
+    """Read an answer; one that can't be read leaves the outcome unknown."""
+    try:
+        return parse(answer)
+    except malformed as error:
+        raise OutcomeUnknownError(str(error)) from error
+
+
+def _transaction_error(status: int, answer: Any, writes: int) -> Exception:
+    """What a transaction's status means."""
+    if status == CONFLICT:
+        return ConflictError([str(key) for key in (answer or {}).get("failed", [])])
+    if status == BAD_REQUEST and isinstance(answer, dict) and answer.get("error") == "no such lease":
+        return LeaseNotFoundError()
+    if status == BAD_REQUEST:
+        log.error("state service: a transaction of %d changes is refused: %s", writes, answer)
+        return TransactionTooLargeError()
+    log.error("state service: unexpected %s to a transaction: %s", status, answer)
+    return OutcomeUnknownError(f"unexpected status {status}")
--- a/tidebend/kvclient/keys.py
+++ b/tidebend/kvclient/keys.py
@@ -1,8 +1,10 @@
-"""Where our keys lie."""
+"""The prefixes of our keys in the store.
+
+Everything of ours is watched; only what is live is read at the start, so that a long past costs nothing.
+"""
 
 from __future__ import annotations
 
-# Everything of ours is watched; only what is live is read at the start, so that a long past costs nothing.
 PREFIX = "tidebend/"
 LIVE = PREFIX + "live/"
 FINAL = PREFIX + "final/"
