--- a/tidebend/coordination/leader_election.py
+++ b/tidebend/coordination/leader_election.py
@@ -1,4 +1,4 @@
-"""Election of the leader: the controller whose record stands under one key of the key-value store."""
+"""Election of the leader: the controller whose record is under one key of the key-value store."""
 
 from __future__ import annotations
 
--- a/tidebend/coordination/shard_holdings.py
+++ b/tidebend/coordination/shard_holdings.py
@@ -156,7 +156,7 @@
 
         Allocations that were recorded before the grant must be known before the first answer: our own transactions
         reach the cache ahead of others' earlier ones. That read may also bring later grants: guards a controller that
-        was out of touch against acting on its old ones.
+        was partitioned from the store against acting on its old ones.
         """
         if not self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM):
             return
--- a/tidebend/coordination/zone_suspicion.py
+++ b/tidebend/coordination/zone_suspicion.py
@@ -127,7 +127,7 @@
             if value is None:
                 isolated = self._newly_isolated(zone)
                 if isolated is not None:
-                    log.info("zone %s: %s is out of touch; it works on inside at the most", zone, isolated.node)
+                    log.info("zone %s is isolated with %s: at the most its tasks go on inside", zone, isolated.node)
                     self._write_zone_record(term, zone, version, isolated)
             elif self._is_over(zone, ZoneRecord.unpack(value)):
                 log.info("zone %s is no longer isolated", zone)
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -13,10 +13,12 @@
 )
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.kvclient.request_kinds import RequestKind
+from tidebend.kvclient.results import ABSENT, VersionedValue
 from tidebend.kvclient.steady_time import NEVER
 from tidebend.kvclient.watch_cache import WatchCache
 
 __all__ = [
+    "ABSENT",
     "FINAL",
     "LIVE",
     "NEVER",
@@ -31,5 +33,6 @@
     "Refused",
     "RequestKind",
     "TransactionTooLargeError",
+    "VersionedValue",
     "WatchCache",
 ]
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -19,6 +19,7 @@
 )
 from tidebend.kvclient.request_budget import RequestBudget
 from tidebend.kvclient.request_kinds import RequestKind
+from tidebend.kvclient.results import ABSENT, Changes, Page, VersionedValue
 from tidebend.protocol import Write
 from tidebend.settings import Limits
 from tidebend.transport import HttpClient, NoAnswer, Unreachable
@@ -32,9 +33,9 @@
 # Requests for which a lease or a user waits are tried again for this share of a time-out if they are over budget or
 # refused for their rate. Guards them against the other controllers' requests: together they may take more than the
 # store has.
-PATIENCE_SHARE = 0.5
-DEFAULT_WRITE_PATIENCE_S = 0.5
-PAGE_PATIENCE_S = 1.0
+RETRY_SHARE = 0.5
+DEFAULT_WRITE_RETRY_S = 0.5
+PAGE_RETRY_S = 1.0
 
 OK = 200
 BAD_REQUEST = 400
@@ -45,7 +46,6 @@
 UNAVAILABLE = 503
 
 Parsed = TypeVar("Parsed")
-Row = tuple[str, Any, int]  # key, value, version; in a list of changes a value of None is a deletion
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
     body: Any = None
     writes: int = 0  # how many changes it makes
     timeout_s: float | None = None  # None: that of the client
-    patience_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
+    retry_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
 
 
 class KeyValueClient:
@@ -77,7 +77,7 @@
         self._http = connect(address, keep=MAX_CONNECTIONS)
         self._budget = RequestBudget(limits, controllers, timeout)
         self.timeout = timeout
-        self._patience_s = PATIENCE_SHARE * timeout
+        self._retry_s = RETRY_SHARE * timeout
 
     @property
     def watch_pause_s(self) -> float:
@@ -103,10 +103,11 @@
         conditions: dict[str, int],
         writes: list[Write],
         kind: str = RequestKind.CLAIM,
-        patience: float = DEFAULT_WRITE_PATIENCE_S,
+        patience: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
         """Make the changes, all or none, if each key of `conditions` has that version; returns the revision.
 
+        For `patience` seconds it is tried again if it is over budget or refused for its rate.
         Raises ConflictError, LeaseNotFoundError, TransactionTooLargeError, NotExecutedError or OutcomeUnknownError.
         """
         log.debug("%s: %d changes of %s", kind, len(writes), " ".join(key for key, _, _ in writes))
@@ -116,36 +117,36 @@
             RequestKind(kind),
             protocol.transaction(conditions, writes),
             writes=len(writes),
-            patience_s=patience,
+            retry_s=patience,
         )
         status, answer = self._call(request)
         if status == OK:
             return _parse(protocol.parse_revision, answer)
         raise _transaction_error(status, answer, len(writes))
 
-    def get(self, key: str, kind: str = RequestKind.POLL, patience: float = 0.0) -> tuple[Any, int]:
-        """The value and its version, (None, 0) if there is no such key."""
-        status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), patience_s=patience))
+    def get(self, key: str, kind: str = RequestKind.POLL, patience: float = 0.0) -> VersionedValue:
+        """The value and its version, ABSENT if there is no such key."""
+        status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), retry_s=patience))
         if status == NOT_FOUND:
-            return None, 0
+            return ABSENT
         _expect_ok(status)
-        return _parse(protocol.parse_item, answer)
+        return VersionedValue(*_parse(protocol.parse_item, answer))
 
-    def items(self, prefix: str, after: str | None) -> tuple[list[Row], bool, int]:
-        """A page of the keys under a prefix, in their order, and whether there are more, and the revision."""
+    def items(self, prefix: str, after: str | None) -> Page:
+        """A page of the keys under a prefix, from the first one after `after` on."""
         request = _Request(
             "GET",
             protocol.range_path(prefix, after, ITEMS_PER_PAGE),
             RequestKind.CLAIM,
             timeout_s=PAGE_TIMEOUTS * self.timeout,
-            patience_s=PAGE_PATIENCE_S,
+            retry_s=PAGE_RETRY_S,
         )
         status, answer = self._call(request)
         _expect_ok(status)
-        return _parse(protocol.parse_items, answer)
+        return Page(*_parse(protocol.parse_items, answer))
 
-    def changes(self, prefix: str, revision: int, wait_s: float, kind: str) -> tuple[list[Row], int] | None:
-        """What has changed under a prefix since a revision, and the revision that this brings us to.
+    def changes(self, prefix: str, revision: int, wait_s: float, kind: str) -> Changes | None:
+        """What has changed under a prefix since a revision.
 
         Waits for up to `wait_s` until there is something. None if the store doesn't know that revision any more.
         """
@@ -154,13 +155,13 @@
             protocol.changes_path(prefix, revision, int(wait_s * 1000)),
             RequestKind(kind),
             timeout_s=wait_s + self.timeout,
-            patience_s=0.0 if wait_s else self._patience_s,
+            retry_s=0.0 if wait_s else self._retry_s,
         )
         status, answer = self._call(request)
         if status == GONE:
             return None
         _expect_ok(status)
-        return _parse(protocol.parse_changes, answer, (protocol.Invalid, KeyError, TypeError))
+        return Changes(*_parse(protocol.parse_changes, answer, (protocol.Invalid, KeyError, TypeError)))
 
     def grant_lease(self, seconds: float) -> int:
         """A new lease of that length; returns its number."""
@@ -177,11 +178,11 @@
         return True
 
     def _lease_call(self, path: str, body: Any) -> tuple[int, Any]:
-        return self._call(_Request("POST", path, RequestKind.LEASE, body, patience_s=self._patience_s))
+        return self._call(_Request("POST", path, RequestKind.LEASE, body, retry_s=self._retry_s))
 
     def _call(self, request: _Request) -> tuple[int, Any]:
-        """The status and the answer; tried again while the request's patience lasts."""
-        deadline = time.monotonic() + request.patience_s
+        """The status and the answer; for `retry_s` a request that was not sent or refused is tried again."""
+        deadline = time.monotonic() + request.retry_s
         if request.kind == RequestKind.SUBMIT and not self._budget.take_submissions(request.writes):
             raise OverBudgetError
         while True:
--- a/tidebend/kvclient/snapshot.py
+++ b/tidebend/kvclient/snapshot.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
 
-from tidebend.kvclient.client import KeyValueClient, Row
+from tidebend.kvclient.client import KeyValueClient
 from tidebend.kvclient.errors import NotExecutedError
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.kvclient.request_kinds import RequestKind
+from tidebend.kvclient.results import Row, VersionedValue
 
 
 @dataclass
@@ -16,7 +16,7 @@
     """All live keys as of a revision, and the finals that were written while they were read."""
 
     revision: int
-    items: dict[str, tuple[Any, int]] = field(default_factory=dict)  # key -> (value, version)
+    items: dict[str, VersionedValue] = field(default_factory=dict)
     finals: list[Row] = field(default_factory=list)
 
     def apply(self, changes: list[Row], revision: int) -> None:
@@ -28,7 +28,7 @@
             elif value is None:
                 self.items.pop(key, None)
             else:
-                self.items[key] = (value, version)
+                self.items[key] = VersionedValue(value, version)
 
 
 def read_snapshot(client: KeyValueClient) -> Snapshot:
@@ -52,5 +52,5 @@
     return snapshot
 
 
-def _by_key(rows: list[Row]) -> dict[str, tuple[Any, int]]:
-    return {key: (value, version) for key, value, version in rows}
+def _by_key(rows: list[Row]) -> dict[str, VersionedValue]:
+    return {key: VersionedValue(value, version) for key, value, version in rows}
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -10,11 +10,12 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from tidebend.kvclient.client import DEFAULT_WRITE_PATIENCE_S, KeyValueClient, Row
+from tidebend.kvclient.client import DEFAULT_WRITE_RETRY_S, KeyValueClient
 from tidebend.kvclient.errors import NotExecutedError, OutcomeUnknownError
 from tidebend.kvclient.keys import FINAL, PREFIX
 from tidebend.kvclient.read_barrier import ReadBarrier
 from tidebend.kvclient.request_kinds import RequestKind
+from tidebend.kvclient.results import ABSENT, Row, VersionedValue
 from tidebend.kvclient.snapshot import Snapshot, read_snapshot
 from tidebend.kvclient.steady_time import NEVER
 from tidebend.kvclient.tombstones import Tombstones
@@ -22,8 +23,6 @@
 
 log = logging.getLogger("storage")
 
-NOT_THERE = (None, 0)
-
 
 class WatchCache:
     """A cache of every key under LIVE, fed by a watch and by reads on demand; finals are only passed on.
@@ -51,7 +50,7 @@
         self.watch_s = watch_s
         self._on_change = on_change
         self._retry_s = retry_s
-        self._items: dict[str, tuple[Any, int]] = {}  # key -> (value, version)
+        self._items: dict[str, VersionedValue] = {}
         self._tombstones = Tombstones()
         self._revision = 0  # up to which all changes are in the cache
         self.read_barrier = ReadBarrier(lambda kind: self.catch_up(0.0, kind), lambda: self.state.poll_pause_s)
@@ -66,12 +65,12 @@
         """How long ago the last completed read began: the staleness of the cache."""
         return time.monotonic() - self.as_of
 
-    def get(self, key: str) -> tuple[Any, int]:
-        """The value and its version, (None, 0) if there is no such key."""
+    def get(self, key: str) -> VersionedValue:
+        """The value and its version, ABSENT if there is no such key."""
         with self.lock:
-            return self._items.get(key, NOT_THERE)
+            return self._items.get(key, ABSENT)
 
-    def under(self, prefix: str) -> dict[str, tuple[Any, int]]:
+    def under(self, prefix: str) -> dict[str, VersionedValue]:
         """The values and versions of all keys with a prefix; looks at each key of the cache."""
         with self.lock:
             return {key: item for key, item in self._items.items() if key.startswith(prefix)}
@@ -86,7 +85,7 @@
 
     def _update_item(self, key: str, value: Any, version: int) -> bool:
         """Take over one change, under the lock; False if it is no newer than what is known."""
-        if version <= self._items.get(key, NOT_THERE)[1] or version <= self._tombstones.version(key):
+        if version <= self._items.get(key, ABSENT).version or version <= self._tombstones.version(key):
             return False
         if value is None:
             self._items.pop(key, None)
@@ -94,7 +93,7 @@
             self._tombstones.record(key, version)
         else:
             self._tombstones.discard(key)
-            self._items[key] = (value, version)
+            self._items[key] = VersionedValue(value, version)
         return True
 
     @contextlib.contextmanager
@@ -113,15 +112,15 @@
         conditions: dict[str, int],
         writes: list[Write],
         kind: str = RequestKind.CLAIM,
-        patience: float = DEFAULT_WRITE_PATIENCE_S,
+        patience: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
         """Change the records, then the cache by the same changes; raises as `KeyValueClient.transact` does."""
         with self._request_under_way():
             revision = self.state.transact(conditions, writes, kind, patience)
             with self.lock:
                 # Guards against an answer that a read has overtaken: the cache has this change already, and what has
-                # become of it since. A whole read tells of no deletions, so that a job that was over by then came back
-                # for good.
+                # become of it since. A snapshot names no deletions, so that a job that was over by then came back for
+                # good.
                 if revision > self._revision:
                     self.apply([(key, value, revision) for key, value, _ in writes])
         return revision
