--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -25,7 +25,7 @@
 from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.controller.scheduler.preemption import MachineWithVictims, Victim
 from tidebend.coordination import shard_of
-from tidebend.kvclient import OutcomeUnknownError
+from tidebend.kvclient import NEVER, OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
 from tidebend.scheduling import CandidateMachine, Placement, TaskRequest, Timeline, own_demand, value_of
 from tidebend.transport import NoAnswer
@@ -125,7 +125,7 @@
 def test_a_deposed_holder_claims_nothing(world):
     first, second = stale_pair(world, a=spec())
     grant = first.coordinator.grant("north.0")
-    second.coordinator._put_block("north.0", grant.token, "n1", second.coordinator.lease)
+    second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
     assert allocation(first, "a", "vm-000000", 1, dict([first.coordinator.condition(grant)])) is None
 
 
@@ -147,9 +147,9 @@
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
     first, _ = stale_pair(world)
-    first.coordinator._held.clear()
+    first.coordinator.holdings._held.clear()
     first.cache.barrier = lambda timeout, kind="poll": False
-    first.coordinator._take_up()
+    first.coordinator.holdings.refresh()
     assert first.coordinator.grant("north.0") is None
 
 
@@ -157,9 +157,9 @@
     """A controller was out of touch, and its block went to another: for a moment it acted on its old grant again."""
     first, second = stale_pair(world)
     grant = first.coordinator.grant("north.0")
-    first.coordinator._held.clear()
-    second.coordinator._put_block("north.0", grant.token, "n1", second.coordinator.lease)
-    first.coordinator._take_up()
+    first.coordinator.holdings._held.clear()
+    second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
+    first.coordinator.holdings.refresh()
     assert first.coordinator.grant("north.0") is None
 
 
@@ -245,9 +245,10 @@
     leader = next(c for c in world.controllers.values() if c.coordinator.term is not None)
     provisioner = leader.autoscaler.scale_out.provisioner
     provisioner._request_count = 5
-    until, leader.coordinator.lease_until = leader.coordinator.lease_until, -1e9
+    session_lease = leader.coordinator.session_lease
+    until, session_lease.valid_until = session_lease.valid_until, NEVER
     leader.autoscaler.scale_once()
-    leader.coordinator.lease_until = until
+    session_lease.valid_until = until
     leader.autoscaler.scale_once()
     assert leader.coordinator.term is not None and provisioner._request_count >= 5
 
@@ -512,7 +513,7 @@
     """A controller that was cut off before it learnt of its grant answers nobody: its zone is given up soon."""
     controller = world.controllers["n1"]
     now = time.monotonic()
-    controller.coordinator._at_home["north.0"] = ("n0", now)
+    controller.coordinator.local_holders.record("north.0", "n0")
     controller.coordinator.cache.apply([("tidebend/live/node/n0", None, 10**6)])
     controller.coordinator.is_unreachable_by_all = lambda shard: True
     controller.peer_exchange.peers["n0"].shards = frozenset(held)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -102,6 +102,7 @@
             # looked up when it is called: the dispatcher itself needs the coordinator
             lambda grant: self.command_dispatcher.on_shard_acquired(grant),
             self.schema_version,
+            lambda node, shard: self.peer_exchange.has_reported_holding(node, shard),
         )
         self.peer_exchange = PeerExchange(settings, self.peer_frame, self.coordinator.learn_holders)
         self.command_dispatcher = CommandDispatcher(
@@ -113,7 +114,6 @@
             self._wake_scheduler,
             self._connect,
         )
-        self.coordinator.peer_reported_holding = lambda node, shard: shard in self.peer_exchange.peers[node].shards
 
     def _create_record_writers(self) -> None:
         self.quota_rebalancer = QuotaRebalancer(
@@ -133,7 +133,7 @@
             self.quota_rebalancer,
             self._machine_types,
             self.command_dispatcher.send,
-            self.peer_exchange.is_crash_looping,
+            self.peer_exchange.crash_looping_jobs,
             self.final_lookup.look_up,
         )
 
--- a/tidebend/controller/peer_report.py
+++ b/tidebend/controller/peer_report.py
@@ -3,13 +3,14 @@
 from __future__ import annotations
 
 import time
+from dataclasses import replace
 from typing import Any
 
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.autoscaling.autoscaler import Autoscaler
 from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.workers.zone_probe import ZoneProbe
-from tidebend.coordination import Coordinator, shard_of
+from tidebend.coordination import Coordinator, PeerFrame, PeerMachine, shard_of
 from tidebend.coordination.schema_version import SchemaVersion
 from tidebend.kvclient import WatchCache
 from tidebend.settings import Settings
@@ -44,21 +45,25 @@
 
         Peers of the schema version before pipelines know no jobs that crash loop and no ages of heartbeats.
         """
-        frame = {
-            "from": self._settings.name,
-            "state_contact": time.time() - self._cache.age_s,
-            "machines": self._machine_rows(),
-            "held": [grant.shard for grant in self._coordinator.grants()],
-            "blocks": self._coordinator.table(),
-        }
+        frame = PeerFrame(
+            sender=self._settings.name,
+            state_as_of=time.time() - self._cache.age_s,
+            machines=self._machines(),
+            held_shards=[grant.shard for grant in self._coordinator.grants()],
+            holders=self._coordinator.table(),
+        )
         if self._schema_version.pipelines:
-            frame.update(at_fault=self._completions.crash_looping_jobs(), came=self._zone_probe.report_ages())
-        return frame
+            frame = replace(
+                frame,
+                crash_looping_jobs=self._completions.crash_looping_jobs(),
+                report_ages_s=self._zone_probe.report_ages(),
+            )
+        return frame.pack()
 
-    def _machine_rows(self) -> list[list[Any]]:
-        """Return a row for each machine in our shards: name, type, zone, spot, released, host, port, session."""
-        rows: list[list[Any]] = [
-            [
+    def _machines(self) -> list[PeerMachine]:
+        """The machines in our shards that take tasks, then those that were released lately."""
+        machines = [
+            PeerMachine(
                 machine.name,
                 machine.type,
                 machine.zone,
@@ -66,9 +71,9 @@
                 0,
                 *(machine.address or ("", 0)),
                 machine.session,
-            ]
+            )
             for machine in self._machine_registry.all()
             if not machine.draining and not machine.releasing and self._coordinator.grant(shard_of(machine.zone))
         ]
-        rows += [[name, "", "", 0, 1, "", 0, 0] for name in list(self._autoscaler.recently_released)]
-        return rows
+        machines += [PeerMachine.of_released(name) for name in list(self._autoscaler.recently_released)]
+        return machines
--- a/tidebend/controller/workers/peer_machines.py
+++ b/tidebend/controller/workers/peer_machines.py
@@ -2,32 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import NamedTuple
+from collections.abc import Sequence
 
-from tidebend.coordination import PeerState
+from tidebend.coordination import PeerMachine, PeerState
 
-# the fields of a machine's row in a peer frame; later versions may append others
-ROW_FIELDS = 8
 
-
-class PeerMachine(NamedTuple):
-    """A machine's row in a peer frame, in the order of its fields there."""
-
-    name: str
-    type: str
-    zone: str
-    spot: int
-    released: int  # 1 for a machine that the peer has released, of which nothing but the name is filled in
-    host: str = ""  # empty if the peer doesn't know the worker's address
-    port: int = 0
-    session: int = 0
-
-
-def machines_of(peer: PeerState) -> Iterator[PeerMachine]:
+def machines_of(peer: PeerState) -> Sequence[PeerMachine]:
     """The machines in the last frame of a peer; none before its first frame."""
-    for row in peer.machines or ():
-        yield PeerMachine(*row[:ROW_FIELDS])
+    return peer.machines or ()
 
 
 def released_by(peers: dict[str, PeerState]) -> set[str]:
