--- a/lab/__main__.py
+++ b/lab/__main__.py
@@ -18,7 +18,7 @@
 
 from lab.experiment import read
 from lab.model import FAULTS, Size, explore
-from lab.plays import NoVersion, play_all
+from lab.plays import VersionNotFoundError, play_all
 from lab.search import FAULTS as SEARCH_FAULTS
 from lab.search import search as find
 from tidebend.hcl import HclFileError
@@ -236,7 +236,7 @@
             arguments.workers,
             arguments.json,
         )
-    except (HclFileError, NoVersion, ValueError) as error:
+    except (HclFileError, VersionNotFoundError, ValueError) as error:
         errors.print(f"lab: {error}", markup=False, highlight=False)
         return UNUSABLE
     if arguments.json:
--- a/lab/checker.py
+++ b/lab/checker.py
@@ -90,7 +90,7 @@
                 found.append(("accepted_unfit", now, f"{job}: {status}, not {unfit[job]}"))
             if status in (200, 201) and ("submit", job) not in first_asked:
                 found.append(("invented", now, f"{job} was never submitted"))
-            refused = status == 404 or action == "submit" and status in (400, 422)
+            refused = status == 404 or (action == "submit" and status in (400, 422))
             if refused and job in accepted and accepted_at[job] < began:
                 found.append(("forgotten", now, f"{job}: {status}"))
             if status in (200, 201):
@@ -213,7 +213,7 @@
             if f"{name}/{index}" not in there and f"{name}/{index}" not in world.completed
         ]
         gang = spec["shape"] == "group"
-        if not pending or gang and len(pending) < spec["pieces"]:
+        if not pending or (gang and len(pending) < spec["pieces"]):
             return False  # the rest of a gang ends first
         needed = len(pending) if gang else 1
         if not self._under_limit(spec, needed):
--- a/lab/cloud.py
+++ b/lab/cloud.py
@@ -47,7 +47,7 @@
                 worker.lose_all()
 
     def call(self, node, method, path, body):
-        path, _, query = path.partition("?")
+        path, _, _query = path.partition("?")
         if self.world.now < self.down_until:
             return 503, {"error": "trouble"}
         if path == "/flavors":
--- a/lab/plays.py
+++ b/lab/plays.py
@@ -13,7 +13,7 @@
 from lab.versions import at
 
 
-class NoVersion(Exception):
+class VersionNotFoundError(Exception):
     """A commit isn't in the history at hand."""
 
 
@@ -21,7 +21,7 @@
     """One play; `source` None is the code at hand."""
     version = at(source) if source else None
     if source and version is None:
-        raise NoVersion(f"no commit {source} in the history at hand")
+        raise VersionNotFoundError(f"no commit {source} in the history at hand")
     return {"source": source or "at hand", "set": changes, **play(read(path, changes), seed, version)}
 
 
--- a/lab/world.py
+++ b/lab/world.py
@@ -329,7 +329,7 @@
         before = self.answers.get(name, (None, None))
         if not self.looking:
             self.answers[name] = (status, state)
-        if before[0] != status and status in (200, 201) or before[1] != state and state == "withdrawn":
+        if (before[0] != status and status in (200, 201)) or (before[1] != state and state == "withdrawn"):
             self.looked_at.append(name)
         return status, state
 
--- a/run.py
+++ b/run.py
@@ -5,7 +5,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent / "target" / "deps"))
 
-from tidebend.cli import main  # noqa: E402
+from tidebend.cli import main
 
 if __name__ == "__main__":
     sys.exit(main())
--- a/tidebend/access/__init__.py
+++ b/tidebend/access/__init__.py
@@ -7,19 +7,19 @@
 from tidebend.access.tls import CertificateError, Tls, expires, make_certificate, trusting
 
 __all__ = [
-    "CertificateError",
-    "KeyFileError",
     "AuthenticatedServer",
+    "CertificateError",
     "Key",
+    "KeyFileError",
     "KeyedClient",
     "Keyring",
     "NotLoopbackError",
     "Tls",
+    "create_keyring",
     "expires",
     "make_certificate",
-    "create_keyring",
     "parse_address",
-    "rotate_keyring",
     "parse_listen_address",
+    "rotate_keyring",
     "trusting",
 ]
--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -31,6 +31,7 @@
 
 
 def parser() -> argparse.ArgumentParser:
+    """The arguments of a controller on the platform."""
     top = argparse.ArgumentParser(
         prog="tidebend",
         description="One controller of a tidebend cluster. Without a command it runs until it is killed.",
@@ -52,6 +53,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Run the command that the arguments name.
+
+    Returns the exit status: 0, 1 for a command that failed, or 2 for arguments or settings that can't be used.
+    """
     argv = sys.argv[1:] if argv is None else argv
     if argv and argv[0] in PRODUCT:
         from tidebend.client import main as product
--- a/tidebend/faults.py
+++ b/tidebend/faults.py
@@ -16,6 +16,7 @@
 
 
 def point(name: str) -> None:
+    """Kill this process if TIDEBEND_FAULT names this point, the given time that it is passed; else do nothing."""
     global _left
     if name != _name:
         return
--- a/tidebend/logs.py
+++ b/tidebend/logs.py
@@ -15,6 +15,7 @@
 
 
 def configure() -> None:
+    """Have everything logged to standard error, as much and in the form that LOG_LEVEL and LOG_FORMAT say."""
     shared = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
--- a/tidebend/messages/__init__.py
+++ b/tidebend/messages/__init__.py
@@ -3,4 +3,4 @@
 from tidebend.messages.agents import GangMemberStatus, GangVerdict, Joined, Joining
 from tidebend.messages.descriptions import Bounds, Description
 
-__all__ = ["Bounds", "Description", "Joined", "Joining", "GangMemberStatus", "GangVerdict"]
+__all__ = ["Bounds", "Description", "GangMemberStatus", "GangVerdict", "Joined", "Joining"]
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -11,6 +11,7 @@
 from __future__ import annotations
 
 import argparse
+import itertools
 import json
 import os
 import random
@@ -389,7 +390,7 @@
         found = []
         for task, rows in spans.items():
             rows.sort()
-            for (_, until, where), (since, _, other) in zip(rows, rows[1:], strict=False):
+            for (_, until, where), (since, _, other) in itertools.pairwise(rows):
                 if since < until - 0.001:
                     found.append(f"{task}: on {where} and {other} at once, by their histories")
         return found
