--- a/lab/model.py
+++ b/lab/model.py
@@ -103,7 +103,7 @@
             if key == QUOTA + TEAM:
                 accounts.on_change(key, _quota(value), version)
             elif key.startswith("job/"):
-                accounts.count_claim(SimpleNamespace(team=TEAM, cpus=1.0, gpus=0.0), key.split("/")[1], value)
+                accounts.count_allocated(SimpleNamespace(team=TEAM, cpus=1.0, gpus=0.0), key.split("/")[1], value)
         return accounts
 
     def used(self, team: str, zones: Any = None) -> tuple[float, float]:
--- a/lab/versions.py
+++ b/lab/versions.py
@@ -46,16 +46,20 @@
         controller = importlib.import_module("tidebend.controller")
         kvclient = importlib.import_module("tidebend.kvclient")
         failures = (kvclient.NotExecutedError, kvclient.OutcomeUnknownError)
+        unreachable, no_answer = parts["transport"].UnreachableError, parts["transport"].NoAnswerError
+        invalid = parts["protocol"].InvalidMessageError
     else:
         driver = FormerControllerDriver
         controller, failures = former_controller(), former_failures()
+        unreachable, no_answer = parts["transport"].Unreachable, parts["transport"].NoAnswer
+        invalid = parts["protocol"].Invalid
     return Version(
         controller.Controller,
         parts["settings"].read_settings,
         parts["settings"].Knobs,
-        parts["transport"].Unreachable,
-        parts["transport"].NoAnswer,
-        (*failures, parts["protocol"].Invalid),
+        unreachable,
+        no_answer,
+        (*failures, invalid),
         parts["transport"].Reply,
         driver,
     )
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -19,7 +19,7 @@
     parse_listen_address,
     rotate_keyring,
 )
-from tidebend.transport import HttpClient, NoAnswer, Reply, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, Reply, UnreachableError
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
         served.append((method, path, body()))
         return Reply(200, {"n": len(served)})
 
-    gate = AuthenticatedServer(("127.0.0.1", 0), route, ring, idle_s=20.0, body_s=1.0, most=40)
+    gate = AuthenticatedServer(("127.0.0.1", 0), route, ring, idle_timeout_s=20.0, body_timeout_s=1.0, most=40)
     threading.Thread(target=gate.serve_forever, daemon=True).start()
     gate.served = served
     yield gate
@@ -153,7 +153,7 @@
         assert ask("right", ring.shown(), tls) == 200
         assert ask("right", "wrong", tls) == 401
         for gate, trusted in (("right", foreign), ("right", None), ("elsewhere", tls)):
-            with pytest.raises((Unreachable, NoAnswer)):
+            with pytest.raises((UnreachableError, NoAnswerError)):
                 ask(gate, ring.shown(), trusted)
         silent = [raw(gates["right"], "") for _ in range(100)]  # no handshake: guests like others
         assert ask("right", ring.shown(), tls) == 200
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -70,11 +70,16 @@
 def serve():
     begun = []
 
-    def begin(route=echo, idle_s=30.0, most=FLEET + 100, max_threads=THREADS):
+    def begin(route=echo, idle_timeout_s=30.0, most=FLEET + 100, max_threads=THREADS):
         begun.append(
             Served(
                 Server(
-                    ("127.0.0.1", 0), route, idle_s=idle_s, body_s=5.0, max_connections=most, max_threads=max_threads
+                    ("127.0.0.1", 0),
+                    route,
+                    idle_timeout_s=idle_timeout_s,
+                    body_timeout_s=5.0,
+                    max_connections=most,
+                    max_threads=max_threads,
                 )
             )
         )
@@ -153,7 +158,7 @@
 
 
 def test_a_parked_connection_is_closed_when_it_was_idle_for_too_long(serve):
-    served = serve(idle_s=1.5, max_threads=1)
+    served = serve(idle_timeout_s=1.5, max_threads=1)
     stream = served.connect()
     silent = served.connect()
     for _ in range(2):  # each request begins the time anew
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -10,7 +10,8 @@
 
 from tests.test_guards import begun
 from tidebend import protocol
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller import connection_limits
 from tidebend.controller.autoscaling import scale_in
 from tidebend.controller.autoscaling.cloud_client import CloudResponse
@@ -18,7 +19,7 @@
 from tidebend.controller.workers.command_dispatcher import CommandTarget
 from tidebend.kvclient import LIVE, WatchCache
 from tidebend.protocol import Report
-from tidebend.transport import Budget, HttpClient, NoAnswer, Reply, Server, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, Reply, Server, TokenBucket, UnreachableError
 from tidebend.transport.frames import MAX_FRAME
 
 
@@ -65,7 +66,7 @@
     """With two calls a second the second page of a list never got one, and without a list nothing was rented."""
     clock = Clock(monkeypatch)
     calls_per_s, log, others, wholes = 2.0, [], 0, []
-    budget = Budget(calls_per_s, 2.0)
+    budget = TokenBucket(calls_per_s, 2.0)
     listing = MachineInventory(pages_of(fleet, budget, log), 10.0, calls_per_s)
     for _ in range(120):
         listing.read(clock.now)
@@ -121,7 +122,7 @@
     def route(method, path, body):
         return Reply(200, {"path": path}, close_if_crowded=path == "/worker")
 
-    server = Server(("127.0.0.1", 0), route, idle_s=20.0, body_s=1.0, max_connections=20)
+    server = Server(("127.0.0.1", 0), route, idle_timeout_s=20.0, body_timeout_s=1.0, max_connections=20)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     try:
         address = server.server_address[:2]
@@ -132,7 +133,7 @@
         while missing and tries < 200:  # each tries again and again, and keeps its connection if it may
             tries += 1
             for number in list(missing):
-                with contextlib.suppress(NoAnswer, Unreachable):
+                with contextlib.suppress(NoAnswerError, UnreachableError):
                     assert workers[number].request("GET", "/worker")[0] == 200
                     missing.discard(number)
         assert not missing
@@ -168,7 +169,7 @@
             self.address = address
 
         def request(self, *args):
-            raise Unreachable("nobody")
+            raise UnreachableError("nobody")
 
         def close(self):
             closed.append(self.address)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -28,7 +28,7 @@
 from tidebend.kvclient import NEVER, OutcomeUnknownError
 from tidebend.protocol import MachineType, Report, TaskReport, parse_job
 from tidebend.scheduling import CandidateMachine, Placement, TaskRequest, Timeline, own_demand, value_of
-from tidebend.transport import NoAnswer
+from tidebend.transport import NoAnswerError
 
 TYPES = [
     {
@@ -98,7 +98,7 @@
             *[getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
         ):
             return None
-        return job.with_claims([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
 
     return controller.job_writer.change(name, edit, conditions or {})
 
@@ -228,11 +228,11 @@
     """Seen as ran_twice on a day: a report came between the proof that it is not there and the record of its end."""
     key = ("req-a", 0, 1)
     machine = machine_with()
-    machine.stops[key] = 0.0
+    machine.stop_requests[key] = 0.0
     assert machine.can_no_longer_start(key)  # from here on its end may be recorded, and it may be claimed elsewhere
     machine.apply_heartbeat(Report("vm-000000", None, "box", "north", False, 2, 8, 5, None, ()), 1.0, direct=False)
-    assert ops(machine, held()) == [] and key in machine.stops
-    assert ops(machine, []) == [] and not machine.stops  # its end is recorded: nothing is kept for it
+    assert ops(machine, held()) == [] and key in machine.stop_requests
+    assert ops(machine, []) == [] and not machine.stop_requests  # its end is recorded: nothing is kept for it
 
 
 def test_an_answer_to_direct_commands_shows_that_a_machine_lives_for_a_lease_at_most(world):
@@ -292,10 +292,10 @@
     for _ in range(20):
         first.planner.allocator.allocate({"a": group}, places)
     job = first.job_cache.get("a")
-    assert job.chunks and len(job.allocations) > 20 and job.charged == job.running
+    assert job.chunks and len(job.allocations) > 20 and job.charged == job.allocated_count
     # every other one done: as scattered as can be
-    everything = job.places(places)
-    done = job.claimed & int("01" * 50_000, 2)
+    everything = job.allocated_on(places)
+    done = job.allocated & int("01" * 50_000, 2)
     while first.job_cache.get("a").allocations:
         ended = UnrecordedCompletions(everything, done)
         assert first.job_writer.change(
@@ -318,7 +318,7 @@
     world.state.limits["value_kb"], first.record_limits.max_value_bytes = 1.0, 1024
 
     def edit(job, usage):
-        return job.with_claims([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
 
     assert list(first.job_writer.change_all([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
     assert not first.job_cache.get("a").allocations
@@ -331,11 +331,11 @@
     second.cache.catch_up(0.0, "claim")
 
     def edit(job, usage):
-        if first.job_cache.get("a").claimed == 0b1:  # only once
+        if first.job_cache.get("a").allocated == 0b1:  # only once
             assert allocation(second, "a", "vm-000001", 0b10) is not None
             first.cache.catch_up(0.0, "claim")
         free = job.pending & 0b110
-        return job.with_claims([Allocation("vm-000002", 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000002", 1, job.started + 1, free, 0.0, "north")])
 
     assert first.job_writer.change("a", edit, {})
     held = {allocation.machine: allocation.tasks for allocation in first.job_cache.get("a").allocations}
@@ -350,13 +350,13 @@
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
-    assert first.job_writer.change("a", lambda job, _: job.without(ended, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.without_tasks(ended, 1), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 8.0)
     second.cache.catch_up(0.0, "claim")
     assert allocation(second, "b", "vm-000001", 3) is None  # only one more fits
     assert allocation(second, "b", "vm-000001", 1) is not None
     first.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 2}, 2), {})
+    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 2}, 2), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 4.0)
     second.cache.catch_up(0.0, "claim")
     assert second.job_cache.team("team").cpus == 4.0
@@ -366,7 +366,7 @@
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     second.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 1), {})
     assert second.job_cache.team("team").cpus == 8.0
     assert allocation(second, "b", "vm-000001", 1) is None
 
@@ -389,7 +389,7 @@
     def lost(method, path, body=None, timeout=2.0):
         if path == "/multi":
             late.append(body)
-            raise NoAnswer("lost")
+            raise NoAnswerError("lost")
         return whole(method, path, body, timeout)
 
     controller.state._http.request = lost
@@ -404,7 +404,7 @@
         wanted = job.pending & tasks
         if not controller.settings.teams["team"].allows(usage.plus(job.spec, wanted.bit_count()).cpus, 0.0):
             return None
-        return job.with_claims([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
+        return job.with_allocations([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
 
     return controller.job_writer.change(name, edit, dict([controller.coordinator.condition(grant)]))
 
@@ -459,7 +459,7 @@
     def make(job, usage):
         if not first.settings.teams["team"].allows(usage.plus(job.spec, 1).cpus, 0.0):
             return None
-        return job.with_claims([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
 
     before = world.state.revision
     changed = first.job_writer.change_all([JobEdit(name, make) for name in "abc"])
@@ -472,7 +472,7 @@
     team's usage look smaller than it is."""
     first, second = stale_pair(old_world, a=spec(), b=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
-    assert first.job_writer.change("a", lambda job, _: job.without({("vm-000000", 1, 1): 1}, 0), {})
+    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
 
     def paged(prefix, after):
@@ -539,7 +539,7 @@
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
     want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, avoids_gpus=True)
     planner.preemptor.make_room_for(want, 3, list(rows), 0.0)
-    assert [bool(row.machine.stops) for row in rows] == [True, False]
+    assert [bool(row.machine.stop_requests) for row in rows] == [True, False]
 
 
 def test_a_gangs_machine_in_a_cut_zone_is_waited_for_while_another_would_boot_and_fetch(world):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,8 @@
 from tests.test_troubles import TEAMS, ZONES, busy
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, commands_for
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.reconciliation import commands_for
 from tidebend.protocol import TaskReport, parse_job
 
 REPORT, CONTROLLER, WORKER = 1.0, 3.5, 10.0  # seconds: a report's interval, a controller's lease, a worker's
@@ -163,10 +164,10 @@
 def test_stops_come_before_hundreds_of_starts():
     """An answer holds a few hundred commands: stops of what is cancelled stood behind starts and were cut off."""
     small = {**JOB, "pieces": 400, "vcpus": 0.01, "memoryGb": 0.01}
-    waiting = Job("a", 1, parse_job(small), 0.0).with_claims(
+    waiting = Job("a", 1, parse_job(small), 0.0).with_allocations(
         [Allocation("vm-000000", 1, 1, (1 << 400) - 1, 0.0, "north")]
     )
-    over = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_claims(
+    over = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_allocations(
         [Allocation("vm-000000", 1, 1, 1, 0.0, "north")]
     )
     machine = Machine("vm-000000", "box", "north", False, session=1, token=5)
@@ -184,7 +185,7 @@
         world.state.down(world.now + 60.0)
         while first.coordinator.lease_valid:
             world.step()
-        first.machine_registry.machines[worker.name].stops[
+        first.machine_registry.machines[worker.name].stop_requests[
             next(iter(first.machine_registry.machines[worker.name].tasks))
         ] = 0.0
         answer = world.to_controller(worker.name, "n0", "POST", "/v1/report", worker.body())
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -53,7 +53,7 @@
     assert [job.id for job in job_cache.live() if job.pending] == ["req-0"]
     job_cache.on_change(JOB + "req-0", None, 5001)
     final(job_cache, "req-0", "done", 130.0)
-    assert job_cache.looked_at <= wide and all(job.pending and job.since == 130.0 for job in job_cache.live())
+    assert job_cache.looked_at <= wide and all(job.pending and job.startable_since == 130.0 for job in job_cache.live())
 
 
 def test_a_diamond_waits_for_both_sides_and_readiness_is_the_last_of_them():
@@ -62,10 +62,15 @@
         final(job_cache, name, "done", at)
     assert job_cache.get("req-d").blocked and not job_cache.get("req-b").blocked
     final(job_cache, "req-b", "done", 120.0)
-    assert (job_cache.get("req-d").blocked, job_cache.get("req-d").since) == (False, 140.0)
+    assert (job_cache.get("req-d").blocked, job_cache.get("req-d").startable_since) == (False, 140.0)
     # the first claim records it in place of the names
-    recorded = Job.unpack("req-d", job_cache.get("req-d").with_claims([]).pack(), 9)
-    assert (recorded.dependencies, recorded.ready, recorded.blocked, recorded.key) == ((), 140.0, False, HEAD + "req-d")
+    recorded = Job.unpack("req-d", job_cache.get("req-d").with_allocations([]).pack(), 9)
+    assert (recorded.dependencies, recorded.dependencies_done_at, recorded.blocked, recorded.key) == (
+        (),
+        140.0,
+        False,
+        HEAD + "req-d",
+    )
 
 
 def test_what_is_over_and_unknown_is_asked_for_and_holds_what_needs_it_until_then():
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -18,7 +18,7 @@
     WatchCache,
 )
 from tidebend.settings import Limits
-from tidebend.transport import NoAnswer, Unreachable
+from tidebend.transport import NoAnswerError, UnreachableError
 
 LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
 
@@ -133,8 +133,8 @@
         ((503, {}), NotExecutedError),
         ((500, {}), OutcomeUnknownError),
         ((200, {}), OutcomeUnknownError),  # without a revision
-        (Unreachable("no route"), NotExecutedError),
-        (NoAnswer("timed out"), OutcomeUnknownError),
+        (UnreachableError("no route"), NotExecutedError),
+        (NoAnswerError("timed out"), OutcomeUnknownError),
     ],
 )
 def test_each_outcome_of_a_transaction_has_its_type_and_what_was_not_executed_says_so(outcome, expected):
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -11,7 +11,7 @@
 from tidebend.kvstore import Engine
 from tidebend.protocol import rent
 from tidebend.provider import AgentProcesses, JoinRefusedError, Kind, MachineGoneError, Provider
-from tidebend.transport import Unreachable
+from tidebend.transport import UnreachableError
 
 
 class Processes:
@@ -36,7 +36,7 @@
 
     def request(self, method, path, body=None, timeout=2.0):
         if self.answer is None:
-            raise Unreachable("cut off")
+            raise UnreachableError("cut off")
         return self.answer, {}
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -42,7 +42,7 @@
     reply = controller.route(method, path, unread)
     assert reply.status == status
     assert error is None or reply.body == {"error": error}
-    assert reply.yields == path.startswith("/v1/report")
+    assert reply.close_if_crowded == path.startswith("/v1/report")
 
 
 def test_the_body_of_a_cancellation_is_read_once_though_it_has_no_meaning(controller):
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -22,7 +22,7 @@
 
 
 def ending(tasks):
-    return lambda job, _: job.without({("vm-north", 1, 1): tasks}, tasks)
+    return lambda job, _: job.without_tasks({("vm-north", 1, 1): tasks}, tasks)
 
 
 def claiming(controller, tasks):
@@ -31,7 +31,7 @@
     def edit(job, usage):
         if not limit.allows(usage.plus(job.spec, tasks.bit_count()).cpus, 0.0):
             return None
-        return job.with_claims([Allocation("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
 
     return edit
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -210,15 +210,15 @@
     for world in busy(1, 1.0, 10.0):
         first = world.controllers["n0"]
         poll = ("GET", "/api/jobs/req-a", lambda: b"")
-        assert not first.route(*poll).closes
+        assert not first.route(*poll).close_connection
         world.state.refuses["n0"] = world.now + 100.0
         for _ in range(60):
             world.step()
         reply = first.route(*poll)
-        assert (reply.status, reply.closes) == (503, True)
+        assert (reply.status, reply.close_connection) == (503, True)
         for peer in first.peer_exchange.peers.values():
             peer.at = -1e9  # as far as it knows nobody can answer: no use in connecting anew
-        assert not first.route(*poll).closes
+        assert not first.route(*poll).close_connection
 
 
 def test_a_service_that_runs_elsewhere_is_not_at_fault_for_three_bad_machines():
@@ -229,7 +229,7 @@
             failures=3, machines=dict.fromkeys(["a", "b", "c"], 0.0)
         )
         spec = parse_job({**JOB, "shape": "service", "pieces": 2})
-        claimed = Job("req-s", 1, spec, 0.0).with_claims([Allocation("vm-far", 1, 1, 1, time.time(), "south")])
+        claimed = Job("req-s", 1, spec, 0.0).with_allocations([Allocation("vm-far", 1, 1, 1, time.time(), "south")])
         assert first.planner.completions.is_crash_looping(claimed, time.monotonic())
         world.now += 2.5 * 10.0
         assert not first.planner.completions.is_crash_looping(claimed, time.monotonic())
@@ -240,7 +240,7 @@
     for world in busy(1, 1.0, 10.0):
         first = world.controllers["n0"]
         spec = parse_job({**JOB, "shape": "group", "pieces": 2})
-        gang = Job("req-g", 1, spec, 0.0).with_claims([Allocation("vm-000001", 1, 1, 1, time.time(), "north")])
+        gang = Job("req-g", 1, spec, 0.0).with_allocations([Allocation("vm-000001", 1, 1, 1, time.time(), "north")])
         machine = first.machine_registry.machines["vm-000000"]
         machine.tasks["req-g", 1, 1] = TaskReport("req-g", 1, 1, "ended", "error", False)
         assert first.planner.pending_jobs._know_the_attempt(gang) == {"vm-000000"}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -9,7 +9,8 @@
 from lab.world import World
 from tests.test_guards import begun
 from tests.test_scenarios import Scenario
-from tidebend.cluster_state.job_cache import JobCache, pack_final, unpack_final
+from tidebend.cluster_state.final_states import pack_final, unpack_final
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.coordination.schema_version import FORMAT, READS
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -80,9 +80,9 @@
         Allocation(f"m{n}", 1, 1, 1 << n, 0.0, zone) for n, zone in enumerate(["north", "south", "north"])
     )
     for job in (Job("s", 0, made, 0.0), in_parts(made, "s")):
-        left = without_lost_zones(job.with_claims(allocations), {"north"})
+        left = without_lost_zones(job.with_allocations(allocations), {"north"})
         assert left.pending == 0b1101 and left.per_zone() == {"south": 1}
-        assert without_lost_zones(job.with_claims(allocations), {"west"}) is None
+        assert without_lost_zones(job.with_allocations(allocations), {"west"}) is None
 
 
 def cut_off(world, node, zone, for_s):
--- a/tidebend/access/authentication.py
+++ b/tidebend/access/authentication.py
@@ -52,8 +52,8 @@
         address: tuple[str, int],
         route: Route,
         ring: Keyring,
-        idle_s: float,
-        body_s: float,
+        idle_timeout_s: float,
+        body_timeout_s: float,
         most: int,
         tls: ssl.SSLContext | None = None,
         backlog: int = 128,
@@ -64,14 +64,16 @@
         self.ring = ring
         self._tls = tls
         self.refused = 0
-        self._patience_s = body_s  # for a guest to show a key, and for a whole body
+        self._patience_s = body_timeout_s  # for a guest to show a key, and for a whole body
         self._most_guests = max(2, int(min(most, max_threads or most) * GUESTS_SHARE))
         self._tables = threading.Lock()
         self._guests: dict[socket.socket, float] = {}  # connection -> steady time at which it came, oldest first
         self._reading: dict[socket.socket, float] = {}  # connection -> steady time at which its body began
         self._refusals_at = -1e9
         self._closed = threading.Event()
-        super().__init__(address, route, idle_s, body_s, most, _AuthenticatedHandler, backlog, max_threads)
+        super().__init__(
+            address, route, idle_timeout_s, body_timeout_s, most, _AuthenticatedHandler, backlog, max_threads
+        )
         threading.Thread(target=self._watch, name="gate", daemon=True).start()
 
     @property
--- a/tidebend/agent/control_connection.py
+++ b/tidebend/agent/control_connection.py
@@ -13,7 +13,7 @@
 from tidebend.agent.worker import Worker
 from tidebend.messages import Description, GangMemberStatus, GangVerdict, Joined, Joining, paths
 from tidebend.protocol.worker import ELSEWHERE, PATH_REPORT, elsewhere, parse_answer
-from tidebend.transport import HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("agent")
 
@@ -36,7 +36,7 @@
     """Become a machine; None if the control service can't be asked now. Raises Refused or Gone."""
     try:
         status, body = client.request("POST", paths.AGENTS, msgspec.to_builtins(asked), ANSWER_S)
-    except (Unreachable, NoAnswer) as error:
+    except (UnreachableError, NoAnswerError) as error:
         log.info("the control service can't be asked: %s", error)
         return None
     if status == 200:
@@ -104,7 +104,7 @@
         began = time.monotonic()
         try:
             status, answer = self._clients[name].request("POST", PATH_REPORT, body, ANSWER_S)
-        except (Unreachable, NoAnswer) as error:
+        except (UnreachableError, NoAnswerError) as error:
             log.info("report: %s", error)
             return False
         if time.monotonic() - began > ANSWER_S:
@@ -133,7 +133,7 @@
             path = f"{paths.DESCRIPTIONS}/{job}?machine={self._terms.machine}"
             try:
                 status, body = self._clients[self._names[0]].request("GET", path, None, ANSWER_S)
-            except (Unreachable, NoAnswer) as error:
+            except (UnreachableError, NoAnswerError) as error:
                 log.info("description of %s: %s", job, error)
                 status, body = 503, None
             if status == 200:
@@ -156,7 +156,7 @@
                 status, body = self._clients[self._names[0]].request(
                     "POST", paths.MUSTER, msgspec.to_builtins(asked), ANSWER_S
                 )
-            except (Unreachable, NoAnswer):
+            except (UnreachableError, NoAnswerError):
                 self._ended.wait(LEAST_PAUSE_S)
                 return
             if status == 200:
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -17,7 +17,7 @@
 from tidebend.agent.settings import AgentSettings
 from tidebend.agent.worker import Worker
 from tidebend.agent.write_ahead_log import WriteAheadLog
-from tidebend.kvstore.disk_log import DirectoryLock, Held
+from tidebend.kvstore import DirectoryLock, DirectoryLockedError
 from tidebend.messages import Joined, Joining
 from tidebend.transport import Reply
 
@@ -28,7 +28,7 @@
 
 
 def run_agent(settings: AgentSettings) -> int:
-    """Until SIGTERM or SIGINT; the exit status. Raises Held, BadDiary, BadKeys or Refused."""
+    """Until SIGTERM or SIGINT; the exit status. Raises DirectoryLockedError, BadDiary, BadKeys or Refused."""
     threading.stack_size(STACK_BYTES)
     directory = settings.place()
     lock = _locked(directory)
@@ -57,7 +57,7 @@
     for _ in range(20):
         try:
             return DirectoryLock(directory)
-        except Held:
+        except DirectoryLockedError:
             time.sleep(0.1)
     return DirectoryLock(directory)
 
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -14,7 +14,7 @@
 from tidebend.control.main import ADDRESS, KEYS
 from tidebend.messages import paths
 from tidebend.protocol import user as words
-from tidebend.transport import NoAnswer, Unreachable
+from tidebend.transport import NoAnswerError, UnreachableError
 
 # how long a request is repeated before it is given up
 PATIENCE_S = 10.0
@@ -75,7 +75,7 @@
                     return answer
                 if status not in (429, 503, 504):
                     raise RequestRejectedError(status, text or f"answered with {status}")
-            except (Unreachable, NoAnswer) as error:
+            except (UnreachableError, NoAnswerError) as error:
                 text = str(error)
             if time.monotonic() > deadline:
                 raise ControlServiceUnreachableError(f"{self.address}: {text}")
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -214,7 +214,7 @@
     from tidebend import logs
     from tidebend.control import load_control_settings, run_control
     from tidebend.control.main import PortInUseError
-    from tidebend.kvstore import Damaged, Failed, Held
+    from tidebend.kvstore import DataDamagedError, DirectoryLockedError, StoreUnavailableError
 
     settings = load_control_settings(str(path))
     if check:
@@ -223,9 +223,9 @@
     logs.configure()
     try:
         return run_control(settings, directory, ready)
-    except (Held, Damaged, PortInUseError) as error:
+    except (DirectoryLockedError, DataDamagedError, PortInUseError) as error:
         return _complain(WRONG, str(error))
-    except Failed as error:
+    except StoreUnavailableError as error:
         return _complain(NO_CONTROL, f"{directory}: {error}")
 
 
@@ -235,7 +235,7 @@
     from tidebend.agent.main import run_agent
     from tidebend.agent.settings import load_agent_settings
     from tidebend.agent.write_ahead_log import WriteAheadLogError
-    from tidebend.kvstore.disk_log import Held
+    from tidebend.kvstore import DirectoryLockedError
 
     settings = load_agent_settings(arguments.config)
     if arguments.check:
@@ -244,7 +244,7 @@
     logs.configure()
     try:
         return run_agent(settings)
-    except (Held, WriteAheadLogError) as error:
+    except (DirectoryLockedError, WriteAheadLogError) as error:
         return _complain(WRONG, str(error))
     except AdmissionRefusedError as error:
         return _complain(REFUSED, str(error))
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -26,15 +26,6 @@
     allocated_at: float  # time of day in seconds, just before it was recorded
     zone: str
 
-    # FORMER NAMES BEGIN
-
-    @property
-    def at(self) -> float:
-        """Former name of `allocated_at`."""
-        return self.allocated_at
-
-    # FORMER NAMES END
-
 
 def pack_allocations(allocations: Iterable[Allocation]) -> list[list[Any]]:
     """Return the form in records: `[session, attempt, time, zone, [machine, tasks, machine, tasks, ...]]` per group.
--- a/tidebend/cluster_state/chunked_jobs.py
+++ b/tidebend/cluster_state/chunked_jobs.py
@@ -91,12 +91,3 @@
     def _chunk_index(self) -> ChunkIndex:
         assert self.chunks is not None, "a job whose record isn't split has no chunks"
         return self.chunks
-
-    # FORMER NAMES BEGIN
-
-    assembled = with_chunk_records
-    touched = changed_chunks
-    is_over = chunk_is_finished
-    without_chunks = with_chunks_closed
-
-    # FORMER NAMES END
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -11,7 +11,6 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.dependency_graph import DependencyGraph
 from tidebend.cluster_state.final_states import CANCELLED, UNKNOWN_TIME, FinalState, unpack_final
-from tidebend.cluster_state.final_states import pack_final as pack_final  # former name
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.cluster_state.record_chunks import CHUNK, Chunk
 from tidebend.kvclient import FINAL
@@ -244,9 +243,3 @@
         """Return the names of the machines with allocations."""
         with self.lock:
             return self._allocations.machines()
-
-    # FORMER NAMES BEGIN
-
-    waiters = dependents
-
-    # FORMER NAMES END
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -29,7 +29,7 @@
     @property
     def key(self) -> str:
         """The key of its record."""
-        return (HEAD if self.dependencies or self.ready is not None or self.chunks else JOB) + self.id
+        return (HEAD if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB) + self.id
 
     def pack(self) -> dict[str, Any]:
         """Return the record under `key`. Of a split job it is the head; chunks are packed by themselves."""
@@ -38,8 +38,8 @@
             value["cancelled"] = 1
         if self.dependencies:
             value["awaits"] = list(self.dependencies)  # whether they are done is known from their final records only
-        elif self.ready is not None:
-            value["ready"] = round(self.ready, 3)
+        elif self.dependencies_done_at is not None:
+            value["ready"] = round(self.dependencies_done_at, 3)
         if self.chunks:
             value["parts"] = self.chunks.pack()
         else:
@@ -73,7 +73,7 @@
             done=from_text(value.get("done", "")),
             allocations=unpack_allocations(value.get("claims", ())),
             dependencies=tuple(value.get("awaits", ())),
-            ready=value.get("ready"),
+            dependencies_done_at=value.get("ready"),
             blocked=bool(value.get("awaits")),
             chunks=ChunkIndex.unpack(value["parts"]) if "parts" in value else None,
         )
--- a/tidebend/cluster_state/job_state.py
+++ b/tidebend/cluster_state/job_state.py
@@ -31,7 +31,7 @@
     done: int = 0  # bitmap
     allocations: tuple[Allocation, ...] = ()
     dependencies: tuple[str, ...] = ()  # jobs that must be done first; empty once the first allocation is recorded
-    ready: float | None = None  # when the last of the dependencies was done
+    dependencies_done_at: float | None = None  # when the last of the dependencies was done
     blocked: bool = False  # some dependency isn't known to be done
     chunks: ChunkIndex | None = None  # for a job whose record is split
 
@@ -56,7 +56,7 @@
     @property
     def startable_since(self) -> float:
         """When its first task could have started: at its submission, or when its last dependency was done."""
-        return self.submitted if self.ready is None else self.ready
+        return self.submitted if self.dependencies_done_at is None else self.dependencies_done_at
 
     @property
     def complete(self) -> bool:
@@ -98,7 +98,7 @@
 
     def with_dependencies_done(self, at: float) -> Self:
         """Return the job as it is once the last of its dependencies is done."""
-        return replace(self, blocked=False, ready=at)
+        return replace(self, blocked=False, dependencies_done_at=at)
 
     def without_tasks(self, ended: Mapping[AllocationKey, int], done: int) -> Self:
         """Return the job without the tasks of allocations that have ended, those in the bitmap `done` being done."""
@@ -111,14 +111,3 @@
                 left.append(replace(allocation, tasks=allocation.tasks & ~removed))
         new = replace(self, allocations=tuple(left), done=self.done | done)
         return replace(new, ended=self.ended + self.allocated_count - new.allocated_count)
-
-    # FORMER NAMES BEGIN
-
-    claimed = allocated
-    running = allocated_count
-    since = startable_since
-    places = allocated_on
-    with_claims = with_allocations
-    without = without_tasks
-
-    # FORMER NAMES END
--- a/tidebend/cluster_state/machine.py
+++ b/tidebend/cluster_state/machine.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from tidebend.cluster_state.keys import TaskKey
-from tidebend.cluster_state.start_tracking import StartTracker, UncertainStart
+from tidebend.cluster_state.start_tracking import StartTracker
 from tidebend.protocol import Report, TaskReport
 
 
@@ -120,27 +120,3 @@
         self.images.move_to_end(image)
         while len(self.images) > 1 and sum(self.images.values()) > cache_gb:
             self.images.popitem(last=False)
-
-    # FORMER NAMES BEGIN
-
-    @property
-    def uncertain_starts(self) -> dict[TaskKey, UncertainStart]:
-        """Former name of `starts.uncertain`."""
-        return self.starts.uncertain
-
-    @property
-    def kept_since(self) -> float | None:
-        """Former name of `forgetting_deferred_since`."""
-        return self.forgetting_deferred_since
-
-    @property
-    def observed(self) -> set[TaskKey]:
-        """Former name of `counted_ends`."""
-        return self.counted_ends
-
-    @property
-    def stops(self) -> dict[TaskKey, float]:
-        """Former name of `stop_requests`."""
-        return self.stop_requests
-
-    # FORMER NAMES END
--- a/tidebend/cluster_state/machine_registry.py
+++ b/tidebend/cluster_state/machine_registry.py
@@ -8,8 +8,6 @@
 from collections import OrderedDict
 
 from tidebend.cluster_state.machine import Machine
-from tidebend.cluster_state.reconciliation import commands_for as commands_for  # former name
-from tidebend.cluster_state.reconciliation import stop_commands_for_cancelled as cancelled_stops  # noqa: F401 former name
 from tidebend.protocol import Report
 
 
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -100,9 +100,3 @@
     def missing_records(self) -> int:
         """The bitmap of open chunks whose records aren't known."""
         return self.opened & ~sum(1 << number for number, _ in self.rows)
-
-    # FORMER NAMES BEGIN
-
-    unknown = missing_records
-
-    # FORMER NAMES END
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -15,13 +15,12 @@
 from tidebend.access import KeyedClient
 from tidebend.control.gang_barrier import GangBarriers
 from tidebend.controller import Controller
-from tidebend.kvstore import Engine, Failed
-from tidebend.kvstore.engine import ConditionFailed, Write
+from tidebend.kvstore import ConditionFailedError, Engine, StoreUnavailableError, Write
 from tidebend.messages import Description, GangMemberStatus, Joined, Joining, paths
 from tidebend.protocol import is_job_id
 from tidebend.protocol import user as users_words
 from tidebend.provider import JoinRefusedError, MachineGoneError, Provider
-from tidebend.transport import NoAnswer, Reply, Unreachable
+from tidebend.transport import NoAnswerError, Reply, UnreachableError
 
 log = logging.getLogger("control")
 
@@ -82,7 +81,7 @@
                     return Reply(200, msgspec.to_builtins(self._musters.tell(told)))
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             return Reply(400, {"error": str(error)})
-        except (Failed, ConditionFailed, NotYet) as error:
+        except (StoreUnavailableError, ConditionFailedError, NotYet) as error:
             return Reply(503, {"error": f"not recorded: {error}"}, LATER)
         return Reply(404, {"error": "no such path"})
 
@@ -95,7 +94,7 @@
         value = msgspec.json.encode(msgspec.json.decode(raw, type=Description))
         try:
             self._engine.transact({DESCRIPTION + job: 0}, [Write(DESCRIPTION + job, value)])
-        except ConditionFailed:
+        except ConditionFailedError:
             item, _ = self._engine.get(DESCRIPTION + job)
             if item is None or msgspec.json.encode(msgspec.convert(item.value, Description)) != value:
                 return Reply(409, {"error": f"{job} is described otherwise"})
@@ -180,7 +179,7 @@
             path = f"{paths.AGENT_OUTPUT}/{job}/{index}?most={arguments.get('most', '')}"
             try:
                 status, body = self._connect(address).request("GET", path, None, OUTPUT_S)
-            except (Unreachable, NoAnswer):
+            except (UnreachableError, NoAnswerError):
                 silent.append(machine)
                 continue
             if status == 200 and (newest is None or body["attempt"] > newest["attempt"]):
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -17,7 +17,7 @@
 from tidebend.control.metrics import PATH, Metrics
 from tidebend.control.settings import CONTROLLER, ControlSettings
 from tidebend.controller import Controller, connection_limits
-from tidebend.kvstore import Direct, Engine, StateService
+from tidebend.kvstore import Engine, InProcessClient, StateService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
 from tidebend.settings import Limits
@@ -41,7 +41,11 @@
 
 class Control:
     def __init__(self, settings: ControlSettings, directory: Path) -> None:
-        """Raises Held, Damaged, Failed, BadKeys, BadCertificate or PortTaken; nothing is changed then."""
+        """Open the data directory and listen.
+
+        Raises DataDamagedError, DirectoryLockedError, StoreUnavailableError, KeyFileError, CertificateError or
+        PortInUseError; nothing is changed then.
+        """
         self.settings = settings
         self.directory = directory
         self.engine = Engine(directory / STATE)
@@ -135,7 +139,7 @@
 
     def _connector(self, state: tuple[str, int], cloud: tuple[str, int]) -> Callable[..., Any]:
         """What the controller has for clients: state service and cloud are in this process, agents are not."""
-        inside = {state: Direct(self.state), cloud: self.provider}
+        inside = {state: InProcessClient(self.state), cloud: self.provider}
 
         def connect(address: tuple[str, int], max_idle: int = 4) -> Any:
             return inside.get(address) or self._connect(address, max_idle)
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -31,14 +31,14 @@
         self._registry.register(self)
 
     def answer(self) -> Reply:
-        return Reply(200, generate_latest(self._registry), kind=CONTENT_TYPE_LATEST)
+        return Reply(200, generate_latest(self._registry), content_type=CONTENT_TYPE_LATEST)
 
     def collect(self) -> Iterator[Metric]:
         jobs = GaugeMetricFamily("tidebend_jobs", "Jobs that aren't over, by kind and state.", labels=["kind", "state"])
         counted: Counter[tuple[str, str]] = Counter()
         waiting = 0
         for job in self._controller.job_cache.live():
-            counted[job.spec.kind, "running" if job.running else "queued"] += 1
+            counted[job.spec.kind, "running" if job.allocated_count else "queued"] += 1
             waiting += job.pending.bit_count()
         for (kind, state), number in sorted(counted.items()):
             jobs.add_metric([kind, state], number)
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from tidebend import protocol
-from tidebend.cluster_state.job_cache import JobCache, unpack_final
+from tidebend.cluster_state.final_states import unpack_final
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.controller.api.replies import RETRY_LATER, parse_body, unavailable_reply
 from tidebend.controller.records.job_writer import JobWriter
@@ -21,9 +22,10 @@
     LeaseNotFoundError,
     NotExecutedError,
     OutcomeUnknownError,
+    OverBudgetError,
     WatchCache,
 )
-from tidebend.protocol import Invalid, JobSpec, MachineType
+from tidebend.protocol import InvalidMessageError, JobSpec, MachineType
 from tidebend.settings import Settings
 from tidebend.transport import Reply
 
@@ -84,19 +86,19 @@
         """Accept a job: 201 if it is new, 200 with its state if it was accepted before.
 
         400 and 422 refuse it for good. 429 and 503 don't tell whether it was accepted: the user repeats the request.
-        Raises `BadRequest` if the body isn't JSON.
+        Raises `BadRequestError` if the body isn't JSON.
         """
         received_at = time.time()
         body = parse_body(raw)
         try:
             job_id = protocol.job_id(body)
-        except Invalid as error:
+        except InvalidMessageError as error:
             return Reply(400, {"error": str(error)})
         try:
             return self._submit(job_id, body, received_at)
-        except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError) as error:
-            if str(error).startswith("over"):  # over our budget of requests
-                return Reply(429, {"error": "too many requests"}, RETRY_LATER)
+        except OverBudgetError:
+            return Reply(429, {"error": "too many requests"}, RETRY_LATER)
+        except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError):
             return unavailable_reply("the state service can't be reached")
 
     def poll(self, job_id: str) -> Reply:
@@ -162,7 +164,7 @@
             return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
-        running = job.running
+        running = job.allocated_count
         state = "running" if running else "queued"
         return Reply(200, protocol.job_answer(job.id, state, job.done.bit_count(), running))
 
@@ -190,7 +192,7 @@
     def _parse(job_id: str, body: Any, received_at: float) -> Job:
         try:
             spec, dependencies = protocol.parse_job(body), protocol.parse_dependencies(body)
-        except Invalid as error:
+        except InvalidMessageError as error:
             raise SubmissionRefusedError(400, str(error)) from error
         return Job(job_id, 0, spec, received_at, dependencies=dependencies)
 
--- a/tidebend/controller/api/replies.py
+++ b/tidebend/controller/api/replies.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from tidebend.transport import BadRequest, Reply
+from tidebend.transport import BadRequestError, Reply
 
 log = logging.getLogger("users")
 
@@ -43,8 +43,8 @@
 
 
 def parse_body(raw: bytes) -> Any:
-    """Return a request's body parsed as JSON; raises `BadRequest` if it isn't JSON."""
+    """Return a request's body parsed as JSON; raises `BadRequestError` if it isn't JSON."""
     try:
         return json.loads(raw)
     except (ValueError, RecursionError) as error:
-        raise BadRequest("not JSON") from error
+        raise BadRequestError("not JSON") from error
--- a/tidebend/controller/api/router.py
+++ b/tidebend/controller/api/router.py
@@ -48,7 +48,9 @@
         path = path.partition("?")[0]
         if path == protocol.PATH_REPORT:
             reply = self._heartbeats.call(method, read_body)
-            reply.yields = True  # a worker connects again for its next heartbeat; a user would have to repeat a request
+            reply.close_if_crowded = (
+                True  # a worker connects again for its next heartbeat; a user would have to repeat a request
+            )
             return reply
         self._readiness.wait_for_first_read()
         if path == protocol.PATH_READY:
@@ -57,7 +59,7 @@
         reply = Reply(404, {"error": "no such path"}) if endpoint is None else endpoint.call(method, read_body)
         # If only this controller is out of touch, its users have to connect again to be sent to another: on the same
         # connection they stay here until the load balancer notices, which takes it several seconds.
-        reply.closes = reply.status == 503 and not self._readiness.is_ready()
+        reply.close_connection = reply.status == 503 and not self._readiness.is_ready()
         return reply
 
     def _users_endpoint(self, path: str) -> Endpoint | None:
--- a/tidebend/controller/autoscaling/autoscaler.py
+++ b/tidebend/controller/autoscaling/autoscaler.py
@@ -9,7 +9,8 @@
 from collections.abc import Callable
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.autoscaling.cancelled_work import CancelledWorkReaper
 from tidebend.controller.autoscaling.cloud_client import CloudClient
 from tidebend.controller.autoscaling.leadership import Leadership
@@ -27,7 +28,7 @@
 from tidebend.controller.workers.peer_machines import released_by
 from tidebend.controller.workers.zone_probe import ZoneProbe
 from tidebend.coordination import Coordinator, PeerExchange, ShardGrant, shard_of
-from tidebend.protocol import Invalid, MachineType
+from tidebend.protocol import InvalidMessageError, MachineType
 from tidebend.settings import Settings
 from tidebend.threads import start_daemon
 from tidebend.transport import HttpClient
@@ -154,7 +155,7 @@
     def check_machines_once(self) -> None:
         """Check the machines of our shards once; to be called about every `_check_interval_s`.
 
-        Raises Invalid for a response of the cloud that can't be read.
+        Raises InvalidMessageError for a response of the cloud that can't be read.
         """
         now = time.monotonic()
         self.releaser.retry_clearing(now)
@@ -199,7 +200,7 @@
         while True:
             try:
                 self.scale_once()  # at once after a start: without the machine types nothing can be decided
-            except Invalid as error:
+            except InvalidMessageError as error:
                 log.error("cloud: unexpected answer: %s", error)
             except Exception:
                 log.exception("rentals")
@@ -208,7 +209,7 @@
     def scale_once(self) -> None:
         """Read the machine types if need be; as the leader also read the list of machines, and provision.
 
-        Raises Invalid for a response of the cloud that can't be read.
+        Raises InvalidMessageError for a response of the cloud that can't be read.
         """
         now = time.monotonic()
         term = self._coordinator.term
@@ -221,7 +222,7 @@
             self._leadership = Leadership(term, now)
         try:
             self.inventory.read(now)
-        except Invalid:
+        except InvalidMessageError:
             self.inventory.reset()
             raise
         if self.inventory.machines is not None:
--- a/tidebend/controller/autoscaling/cancelled_work.py
+++ b/tidebend/controller/autoscaling/cancelled_work.py
@@ -71,8 +71,8 @@
     def release_unresponsive(self, released_by_peers: set[str], now: float) -> None:
         """Probe machines with work that was cancelled long ago, and release those that don't answer.
 
-        Not by a controller that has lost contact to all peers and workers: then it is itself cut off. Raises Invalid
-        for a response of the cloud that can't be read.
+        Not by a controller that has lost contact to all peers and workers: then it is itself cut off. Raises
+        InvalidMessageError for a response of the cloud that can't be read.
         """
         held_shards = {grant.shard for grant in self._coordinator.grants()}
         peer_contacts = [peer.at for peer in self._peer_exchange.peers.values()]
--- a/tidebend/controller/autoscaling/cloud_client.py
+++ b/tidebend/controller/autoscaling/cloud_client.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from tidebend.settings import Settings
-from tidebend.transport import Budget, HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, TokenBucket, UnreachableError
 
 log = logging.getLogger("rentals")
 
@@ -36,7 +36,7 @@
         """`connect` makes the HTTP client of the cloud's address."""
         self.timeout_s = max(2.0, settings.lease_s / 3.0)
         self._http = connect(settings.cloud, max_idle=KEPT_CONNECTIONS)
-        self._budget = Budget(settings.cloud_rps, CALLS_BURST_S)
+        self._budget = TokenBucket(settings.cloud_rps, CALLS_BURST_S)
 
     def call(self, method: str, path: str, body: Any = None, reserve: float = 0.0) -> CloudResponse | None:
         """One call; None if the budget doesn't allow it, or if there is no usable response.
@@ -48,6 +48,6 @@
             return None
         try:
             return CloudResponse(*self._http.request(method, path, body, self.timeout_s))
-        except (Unreachable, NoAnswer) as error:
+        except (UnreachableError, NoAnswerError) as error:
             log.info("cloud: %s %s: %s", method, path, error)
             return None
--- a/tidebend/controller/autoscaling/machine_inventory.py
+++ b/tidebend/controller/autoscaling/machine_inventory.py
@@ -54,7 +54,7 @@
         return now - self.as_of >= factor * interval_s
 
     def read(self, now: float) -> None:
-        """Read on while the call budget allows; raises Invalid for a response that can't be read.
+        """Read on while the call budget allows; raises InvalidMessageError for a response that can't be read.
 
         Nothing is read while the last list is recent enough.
         """
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -62,7 +62,7 @@
         """Release up to `MAX_NAMES` machines; True if the cloud has confirmed it of all of them.
 
         Allocations on confirmed machines are cleared at once, or by `retry_clearing` if that can't be written. Raises
-        Invalid for a response that can't be read.
+        InvalidMessageError for a response that can't be read.
         """
         response = self._cloud.call("POST", protocol.PATH_RELEASE, protocol.release(names))
         confirmed = self._confirmed(names, response)
@@ -97,7 +97,7 @@
         """Remove the allocations on released machines: all that they ran or might have started has ended."""
 
         def edit(job: Job, _: TeamUsage) -> Job:
-            return job.without(job.places(machines), 0)
+            return job.without_tasks(job.allocated_on(machines), 0)
 
         jobs = sorted({job.id for machine in machines for job, _ in self._job_cache.on_machine(machine)})
         try:
--- a/tidebend/controller/autoscaling/machine_types.py
+++ b/tidebend/controller/autoscaling/machine_types.py
@@ -27,7 +27,7 @@
         """Read the types if they are missing or, on the leader, out of date.
 
         Every controller must know the types to decide submissions; only the leader needs current prices. Raises
-        Invalid for a response that can't be read.
+        InvalidMessageError for a response that can't be read.
         """
         is_outdated = now - self._read_at > REFRESH_LEASES * self._settings.lease_s
         if self.by_name and not (is_leader and is_outdated):
--- a/tidebend/controller/autoscaling/provisioner.py
+++ b/tidebend/controller/autoscaling/provisioner.py
@@ -60,8 +60,8 @@
     def provision(self, term: int, offer: Offer, count: int) -> None:
         """Request machines of an offer, at most as many as the protocol allows in one request.
 
-        Without a response the request may have been executed: such machines show up in the list. Raises Invalid for a
-        response that can't be read.
+        Without a response the request may have been executed: such machines show up in the list. Raises
+        InvalidMessageError for a response that can't be read.
         """
         # A term is one election of one process, and the counter is never set back, not even when we regain the
         # same term after our lease was in doubt: so the name can't be used again.
--- a/tidebend/controller/autoscaling/scale_in.py
+++ b/tidebend/controller/autoscaling/scale_in.py
@@ -5,7 +5,8 @@
 import math
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
 from tidebend.controller.autoscaling.machine_types import MachineTypes
@@ -67,7 +68,7 @@
                 machine.idle_since = now
 
     def _is_idle(self, machine: Machine) -> bool:
-        # tasks that have ended may be kept on a machine, see `Machine.may_be_cleared`
+        # tasks that have ended may be kept on a machine, see `Machine.can_forget`
         return (
             machine.idle_since is not None
             and not self._job_cache.on_machine(machine.name)
@@ -107,4 +108,4 @@
         for job, allocation in self._job_cache.on_machine(machine.name):
             for index in members(allocation.tasks):
                 grace_s = EVICTION_GRACE_FACTOR * job.spec.save_s
-                machine.stops.setdefault((job.id, index, allocation.attempt), grace_s)
+                machine.stop_requests.setdefault((job.id, index, allocation.attempt), grace_s)
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -60,7 +60,7 @@
     def run(self, leadership: Leadership, inventory: MachineInventory, view: FleetView) -> None:
         """Release machines that can't be used, and provision what is missing; `inventory` holds a complete list.
 
-        Raises Invalid for a response of the cloud that can't be read.
+        Raises InvalidMessageError for a response of the cloud that can't be read.
         """
         now, clock = time.monotonic(), time.time()
         overdue = self._release_unusable(inventory, view, now)
@@ -126,7 +126,9 @@
     def _remaining_s(self, job: Job, allocation: Allocation, machine_type: MachineType, clock: float) -> float:
         """In how many seconds the tasks of an allocation are expected to end."""
         estimate = self._estimates.corrected(job.spec)
-        remaining_s = estimate + FETCH_SHARE * machine_type.fetch_s(job.spec.image_gb) - (clock - allocation.at)
+        remaining_s = (
+            estimate + FETCH_SHARE * machine_type.fetch_s(job.spec.image_gb) - (clock - allocation.allocated_at)
+        )
         return max(remaining_s, OVERRUN_SHARE * estimate)
 
     def _requests(self, now: float, clock: float) -> list[TaskRequest]:
@@ -136,7 +138,7 @@
             for job in self._job_cache.live()
             if (request := self._pending_jobs.request(job, now, clock)) is not None
         ]
-        return requests + self._pending_jobs.soon(now, clock)
+        return requests + self._pending_jobs.requests_soon_ready(now, clock)
 
     def _offers(self, unreachable_zones: set[str], now: float) -> list[Offer]:
         """What may be provisioned: nothing in unreachable zones, nor what the cloud lately had too few of."""
--- a/tidebend/controller/autoscaling/unresponsive_machines.py
+++ b/tidebend/controller/autoscaling/unresponsive_machines.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.machine_registry import Machine
+from tidebend.cluster_state.machine import Machine
 from tidebend.controller.autoscaling.cancelled_work import has_cancelled_work
 from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
 from tidebend.controller.autoscaling.zone_evacuation import ZoneEvacuation
@@ -65,7 +65,7 @@
         """Look after one shard of ours, whose machines that have reported to us are `machines`.
 
         Marks the shard as unreachable from here if none of its machines is in contact, and releases machines that are
-        out of contact for too long. Raises Invalid for a response of the cloud that can't be read.
+        out of contact for too long. Raises InvalidMessageError for a response of the cloud that can't be read.
         """
         unreported = self._unreported(grant, {machine.name for machine in machines})
         unresponsive = self._unresponsive(grant, machines, unreported, now)
--- a/tidebend/controller/autoscaling/zone_evacuation.py
+++ b/tidebend/controller/autoscaling/zone_evacuation.py
@@ -15,7 +15,7 @@
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
 from tidebend.settings import Settings
-from tidebend.zone_failover import IsolationWindow, MachineContents, leave, order
+from tidebend.zone_failover import IsolationWindow, MachineContents, evacuation_order, machines_to_evacuate
 
 # an isolated zone's machines are released in turns that take no more than this share of the calls
 CALLS_SHARE = 0.25
@@ -69,7 +69,8 @@
         """Release what is due of an isolated zone's machines.
 
         `unresponsive`: machine -> steady time of its last contact; `until`: as `isolated_until` has it. The order and
-        the times are those of `zone_failover.leave`. Raises Invalid for a response of the cloud that can't be read.
+        the times are those of `zone_failover.machines_to_evacuate`. Raises InvalidMessageError for a response of the
+        cloud that can't be read.
         """
         due = [
             name
@@ -79,7 +80,7 @@
         if now >= self._next_turn_at:
             self._next_turn_at = now + self._turn_s
             contents = [self._contents(name, now) for name in unresponsive]
-            due += leave(contents, self._isolation_window(until), now, self._turn_s)
+            due += machines_to_evacuate(contents, self._isolation_window(until), now, self._turn_s)
         if due:
             self._releaser.release(list(dict.fromkeys(due))[:MAX_NAMES])
 
@@ -90,7 +91,7 @@
 
     def by_priority(self, machines: Iterable[str], now: float) -> list[str]:
         """Machines in the order in which they should be released: first those whose replicas are missed most."""
-        contents = sorted((self._contents(name, now) for name in machines), key=order)
+        contents = sorted((self._contents(name, now) for name in machines), key=evacuation_order)
         return [row.machine for row in contents]
 
     def _contents(self, name: str, now: float) -> MachineContents:
@@ -107,7 +108,7 @@
                 continue
             fetch_s = machine_type.fetch_s(job.spec.image_gb) if machine_type is not None else 0.0
             run_s = WRONG_BY * self._estimates.corrected(job.spec)
-            completions.append(now - (clock - allocation.at) + fetch_s + run_s)
+            completions.append(now - (clock - allocation.allocated_at) + fetch_s + run_s)
         return MachineContents(name, replicas, tuple(completions), self._gang_wait_s(name))
 
     def _gang_wait_s(self, name: str) -> float:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -241,9 +241,9 @@
         server = Server(
             self.settings.listen,
             self.route,
-            idle_s=IDLE_LEASES * self.settings.lease_s,
-            body_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
-            most=connection_limits.incoming(self.settings),
+            idle_timeout_s=IDLE_LEASES * self.settings.lease_s,
+            body_timeout_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
+            max_connections=connection_limits.incoming(self.settings),
             backlog=connection_limits.backlog(self.settings),
             max_threads=connection_limits.threads(self.settings),
         )
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -15,12 +15,21 @@
 from tidebend.coordination.schema_version import FORMAT, SchemaVersion
 from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError, WatchCache
 from tidebend.protocol import Write
-from tidebend.quota import QUOTA, SPENT, TEAM, Amounts, ZoneQuotas, lowered, raised, within
+from tidebend.quota import (
+    EXHAUSTED,
+    QUOTA,
+    TEAM,
+    QuotaAmountLike,
+    ZoneQuotas,
+    fits_within,
+    lower_shares,
+    raise_shares,
+)
 from tidebend.settings import Settings, Team
 
 log = logging.getLogger("ledger")
 
-NOTHING: Amounts = (0.0, 0.0)
+NOTHING: QuotaAmountLike = (0.0, 0.0)
 
 # zone -> the condition (key and version) that its shard is still ours
 HeldZones = dict[str, tuple[str, int]]
@@ -59,9 +68,9 @@
         team: str,
         quotas: ZoneQuotas,
         *,
-        already_added: dict[tuple[str, str], Amounts],
+        already_added: dict[tuple[str, str], QuotaAmountLike],
         already_written: Write | None,
-        added: dict[str, Amounts],
+        added: dict[str, QuotaAmountLike],
         held_zones: HeldZones,
     ) -> QuotaChange | None:
         """Return what allocations need so that they keep the team's limit; None if they would exceed it.
@@ -77,10 +86,10 @@
         by_zone = _unpack_written(already_written) if already_written else dict(quotas.zones)
         needs = {}
         for zone in {*grown_zones, *held_zones}:
-            used = self.job_cache.used(team, (zone,))
+            used: QuotaAmountLike = self.job_cache.used(team, (zone,))
             used = _plus(used, already_added.get((team, zone), NOTHING))
             needs[zone] = _plus(used, added.get(zone, NOTHING))
-        sufficient = raised(by_zone, needs, grown_zones, limit, len(self.settings.zones))
+        sufficient = raise_shares(by_zone, needs, grown_zones, limit, len(self.settings.zones))
         if sufficient is None:
             return None
         if sufficient is by_zone:
@@ -135,7 +144,7 @@
                 used = self._used_by_zone(team.name)
             self.cache.write(
                 {TEAM + team.name: usage.version, QUOTA + team.name: 0, FORMAT: self.cache.get(FORMAT)[1]},
-                [(TEAM + team.name, SPENT, None), (QUOTA + team.name, ZoneQuotas(0, used).pack(), None)],
+                [(TEAM + team.name, EXHAUSTED, None), (QUOTA + team.name, ZoneQuotas(0, used).pack(), None)],
             )
             log.info("team %s has shares of its limit in each zone from now on", team.name)
 
@@ -148,7 +157,7 @@
             quotas = self.job_cache.team(limit.name).shares
             used = self._used_by_zone(limit.name)
         if quotas is None or all(
-            within(amounts, quotas.zones.get(zone, NOTHING), limit) for zone, amounts in used.items()
+            fits_within(amounts, quotas.zones.get(zone, NOTHING), limit) for zone, amounts in used.items()
         ):
             return
         sufficient = {
@@ -170,7 +179,7 @@
         quotas = self.job_cache.team(team).shares
         if quotas is None or team in self._uncertain_teams:
             return False
-        lower = lowered(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
+        lower = lower_shares(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
         if lower is None:
             return False
         try:
@@ -184,23 +193,18 @@
             raise
         return True
 
-    # Former names, until the scheduler's modules use the present ones.
-
-    establish_shares = establish_quotas
-    release_shares = release_unused
-
-    def _used_by_zone(self, team: str) -> dict[str, Amounts]:
+    def _used_by_zone(self, team: str) -> dict[str, QuotaAmountLike]:
         return {zone: self.job_cache.used(team, (zone,)) for zone in self.settings.zones}
 
 
-def _unpack_written(write: Write) -> dict[str, Amounts]:
+def _unpack_written(write: Write) -> dict[str, QuotaAmountLike]:
     """Return the quotas by zone of a write of them."""
     return {zone: (amounts[0], amounts[1]) for zone, amounts in write[1].items()}
 
 
-def _plus(one: Amounts, other: Amounts) -> Amounts:
+def _plus(one: QuotaAmountLike, other: QuotaAmountLike) -> QuotaAmountLike:
     return one[0] + other[0], one[1] + other[1]
 
 
-def _larger(one: Amounts, other: Amounts) -> Amounts:
+def _larger(one: QuotaAmountLike, other: QuotaAmountLike) -> QuotaAmountLike:
     return max(one[0], other[0]), max(one[1], other[1])
--- a/tidebend/controller/quota/quota_release.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -10,7 +10,7 @@
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.kvclient import ConflictError
-from tidebend.quota import Amounts
+from tidebend.quota import QuotaAmountLike
 from tidebend.settings import Settings
 
 
@@ -46,11 +46,9 @@
                 with contextlib.suppress(ConflictError):
                     self._quota_rebalancer.release_unused(team)
 
-    look = release_for  # former name, until the scheduling loop uses the present one
-
     def _teams_short_of_quota(self, waiting: Iterable[Job]) -> set[str]:
         """Return the teams with a job that can't start another task, or can't start at all, with what is free."""
-        totals: dict[str, Amounts | None] = {}
+        totals: dict[str, QuotaAmountLike | None] = {}
         short = set()
         for job in waiting:
             spec = job.spec
--- a/tidebend/controller/records/chunked_transactions.py
+++ b/tidebend/controller/records/chunked_transactions.py
@@ -65,12 +65,12 @@
         if not writes or not self._fits(writes, conditions):
             return None
         assert head.chunks is not None
-        head = head.assembled(dict(head.chunks.rows))
+        head = head.with_chunk_records(dict(head.chunks.rows))
         return JobTransaction(head, conditions, writes, usage.plus(head.spec, head.charged - job.charged), size_bytes)
 
     def _chunks_to_write(self, job: Job, new: Job) -> list[int]:
-        numbers = new.touched(job)
-        if job.spec.kind == "gang" and new.running > job.running:
+        numbers = new.changed_chunks(job)
+        if job.spec.kind == "gang" and new.allocated_count > job.allocated_count:
             return numbers  # a gang starts as a whole
         return numbers[: max(1, self._record_limits.max_writes - WRITES_BESIDES_CHUNKS)]
 
@@ -83,7 +83,7 @@
             chunk = new.chunk_of(number, job)
             written.chunks[number] = chunk
             written.conditions[key] = versions.get(number, 0)
-            if new.is_over(number, chunk):
+            if new.chunk_is_finished(number, chunk):
                 written.finished.append(number)
                 if number in versions:
                     written.writes.append(delete(key))
@@ -103,7 +103,7 @@
         opened = index.opened | sum(1 << number for number in written.chunks)
         chunks = {**dict(index.rows), **written.chunks}
         head = replace(new, chunks=replace(index, opened=opened, rows=tuple(sorted(chunks.items()))))
-        return head.without_chunks(written.finished) if written.finished else head
+        return head.with_chunks_closed(written.finished) if written.finished else head
 
     def _fits(self, writes: list[Write], conditions: dict[str, int]) -> bool:
         """Whether a transaction holds this, with the team's record and the caller's conditions on top."""
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -14,7 +14,7 @@
 from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.coordination import Coordinator, shard_of
 from tidebend.protocol import JobSpec
-from tidebend.quota import Amounts, TeamUsage
+from tidebend.quota import QuotaAmountLike, TeamUsage
 from tidebend.settings import Settings
 
 log = logging.getLogger("planner")
@@ -28,7 +28,7 @@
 class CompletionEdit(NamedTuple):
     """An edit that records completions, and what of the team's limit becomes available by it."""
 
-    freed: Amounts
+    freed: QuotaAmountLike
     edit: JobEdit
 
 
@@ -103,7 +103,7 @@
 
     def apply(self, job: Job, _: TeamUsage, completions: UnrecordedCompletions) -> Job:
         """Return the job with the completions, in a form that its record can hold."""
-        new = job.without(completions.ended, completions.done)
+        new = job.without_tasks(completions.ended, completions.done)
         if (
             completions.done
             and not job.chunks
@@ -112,7 +112,7 @@
         ):
             # The indexes of the done tasks may be too scattered for a record. The platform keeps results, so a task
             # that isn't recorded as done and is started again is done at once.
-            without_done = job.without(completions.ended, 0)
+            without_done = job.without_tasks(completions.ended, 0)
             return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.max_value_bytes else without_done
         return new
 
--- a/tidebend/controller/records/completion_tracker.py
+++ b/tidebend/controller/records/completion_tracker.py
@@ -8,17 +8,19 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.keys import TaskKey
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.controller.records.completion_recorder import CompletionEdit, CompletionRecorder
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.retry_backoff import RetryBackoff, RetryBackoffs
 from tidebend.controller.records.task_outcomes import TaskOutcomeObserver
 from tidebend.controller.records.uncertain_starts import UncertainStartResolver
-from tidebend.controller.records.unrecorded_completions import TaskKey, UnrecordedCompletions
+from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
-from tidebend.quota import Amounts, TeamUsage
+from tidebend.quota import QuotaAmountLike, TeamUsage
 from tidebend.settings import Settings
 
 
@@ -52,7 +54,9 @@
         self._outcomes = TaskOutcomeObserver(estimates, self._retry_backoffs)
         self._uncertain_starts = UncertainStartResolver(settings, coordinator, machine_registry)
         self.unrecorded: dict[str, UnrecordedCompletions] = {}  # by job
-        self.freed: dict[str, Amounts] = {}  # team -> what of its limit the unrecorded completions make available
+        self.freed: dict[
+            str, QuotaAmountLike
+        ] = {}  # team -> what of its limit the unrecorded completions make available
 
     @property
     def backoffs(self) -> dict[str, RetryBackoff]:
@@ -97,8 +101,8 @@
                 found.setdefault(job.id, UnrecordedCompletions())
         return machines_to_stop
 
-    def _freed_by_team(self, completions_by_job: dict[str, UnrecordedCompletions]) -> dict[str, Amounts]:
-        freed: dict[str, Amounts] = {}
+    def _freed_by_team(self, completions_by_job: dict[str, UnrecordedCompletions]) -> dict[str, QuotaAmountLike]:
+        freed: dict[str, QuotaAmountLike] = {}
         for job_id, completions in completions_by_job.items():
             job = self.job_cache.get(job_id)
             if job is not None:
@@ -152,7 +156,7 @@
 
         Starts by earlier holders of the shard carry lower tokens than the one that the worker has confirmed.
         """
-        return (job.cancelled or key in machine.stops) and machine.can_no_longer_start(key)
+        return (job.cancelled or key in machine.stop_requests) and machine.can_no_longer_start(key)
 
     def record_completions(self) -> None:
         """Write the completions that have been gathered for long enough, and the urgent ones.
@@ -189,18 +193,3 @@
     def crash_looping_jobs(self) -> list[str]:
         """Return the jobs to report to the other controllers as crash looping."""
         return self._retry_backoffs.crash_looping_jobs()
-
-    # Former names, until the scheduler's modules use the present ones.
-
-    @property
-    def proven(self) -> dict[str, UnrecordedCompletions]:
-        """Former name of `unrecorded`."""
-        return self.unrecorded
-
-    edits_of_team = edits_for_team
-    record_due = record_completions
-    avoided = machines_to_avoid
-
-    def job_without(self, job: Job, usage: TeamUsage, end: UnrecordedCompletions) -> Job:
-        """Former name of `job_with_completions`."""
-        return self.job_with_completions(job, usage, end)
--- a/tidebend/controller/records/edit_batches.py
+++ b/tidebend/controller/records/edit_batches.py
@@ -13,7 +13,7 @@
 from tidebend.controller.records.record_limits import MAX_TRANSACTION_BYTES, RecordLimits
 from tidebend.controller.records.transaction_builder import TransactionBuilder
 from tidebend.protocol import Write
-from tidebend.quota import QUOTA, TEAM, Amounts, TeamUsage
+from tidebend.quota import QUOTA, TEAM, QuotaAmountLike, TeamUsage
 
 log = logging.getLogger("ledger")
 
@@ -27,7 +27,7 @@
     transaction: JobTransaction  # without the team's record
     conditions: dict[str, int]  # all of them, the team's and the edit's own included
     writes: list[Write]  # all of them
-    added: dict[str, Amounts]  # zone -> what the edit allocates less what it ends
+    added: dict[str, QuotaAmountLike]  # zone -> what the edit allocates less what it ends
     changes_team_usage: bool  # whether later edits of the same transaction have to see its effect on the team
 
     @property
@@ -43,7 +43,7 @@
     conditions: dict[str, int] = field(default_factory=dict)
     writes: dict[str, Write] = field(default_factory=dict)  # by key
     team_usages: dict[str, TeamUsage] = field(default_factory=dict)  # as they are with the edits so far
-    added: dict[tuple[str, str], Amounts] = field(default_factory=dict)  # (team, zone) -> allocated less ended
+    added: dict[tuple[str, str], QuotaAmountLike] = field(default_factory=dict)  # (team, zone) -> allocated less ended
     jobs: dict[str, Job] = field(default_factory=dict)  # as they are once the transaction has been executed
     edits: list[JobEdit] = field(default_factory=list)
     size_bytes: int = 0
@@ -71,7 +71,7 @@
         if prepared.changes_team_usage:
             # what ends in this transaction is available to the allocations that follow in it
             ended = transaction.job.ended - before.ended
-            self.team_usages[prepared.team] = transaction.usage.freed(before.spec, ended)
+            self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended)
         for zone, (cpus, gpus) in prepared.added.items():
             total = self.added.get((prepared.team, zone), (0.0, 0.0))
             self.added[prepared.team, zone] = (total[0] + cpus, total[1] + gpus)
@@ -184,7 +184,7 @@
         return True
 
 
-def _added_by_zone(before: Job, after: Job) -> dict[str, Amounts]:
+def _added_by_zone(before: Job, after: Job) -> dict[str, QuotaAmountLike]:
     """Return what a change allocates less what it ends, in the zones in which that differs."""
     tasks: dict[str, int] = {}
     for job, sign in ((before, -1), (after, 1)):
--- a/tidebend/controller/records/final_transactions.py
+++ b/tidebend/controller/records/final_transactions.py
@@ -5,7 +5,8 @@
 import time
 from dataclasses import replace
 
-from tidebend.cluster_state.job_cache import JobCache, pack_final
+from tidebend.cluster_state.final_states import pack_final
+from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.controller.records.job_transaction import JobTransaction, chunk_key, chunk_versions, delete, put
 from tidebend.controller.records.record_limits import RecordLimits
@@ -34,7 +35,7 @@
         deletes, the first ones are deleted ahead, and the job remains.
         """
         versions = chunk_versions(self._job_cache, job)
-        if job.chunks and job.chunks.unknown:
+        if job.chunks and job.chunks.missing_records:
             return None
         if len(versions) > max(0, self._record_limits.max_writes - WRITES_BESIDES_CHUNKS):
             numbers = list(versions)[: self._record_limits.max_writes - 1]
@@ -46,7 +47,7 @@
             new,
             {job.key: job.version, **dict(zip(keys, versions.values(), strict=True))},
             [delete(job.key), put(FINAL + job.id, final), *map(delete, keys)],
-            usage.without(job.spec, job.charged),
+            usage.without_charge(job.spec, job.charged),
         )
 
     def _delete_chunks(self, job: Job, new: Job, versions: dict[int, int], usage: TeamUsage) -> JobTransaction:
@@ -62,6 +63,6 @@
             )
             open_numbers = [number for number in versions if job.chunks.opened >> number & 1]
             job = replace(job, cancelled=new.cancelled, chunks=replace(job.chunks, rows=rows))
-            job = job.without_chunks(open_numbers)
+            job = job.with_chunks_closed(open_numbers)
             writes.append(put(job.key, job.pack()))
         return JobTransaction(job, conditions, writes, usage)
--- a/tidebend/controller/records/job_edit.py
+++ b/tidebend/controller/records/job_edit.py
@@ -21,8 +21,3 @@
     job_id: str
     apply: ApplyEdit
     conditions: dict[str, int] = field(default_factory=dict)  # key -> version, besides those of the job's own records
-
-    @property
-    def job(self) -> str:
-        """Former name of `job_id`, until the scheduler's modules use the present one."""
-        return self.job_id
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -18,7 +18,7 @@
     LeaseNotFoundError,
     NotExecutedError,
     OutcomeUnknownError,
-    Refused,
+    TransactionTooLargeError,
     WatchCache,
 )
 
@@ -96,7 +96,7 @@
             self.cache.write(batch.conditions, list(batch.writes.values()), patience=patience)
         except ConflictError as conflict:
             self._retry_after_conflict(batch, progress, conflict)
-        except Refused:
+        except TransactionTooLargeError:
             self._retry_one_by_one(batch, progress)
         except OutcomeUnknownError:
             # The write may have been executed, or may be later. A read shows what has been executed, and the next call
@@ -139,7 +139,7 @@
         for edit in progress.to_be_split:
             try:
                 is_split = bool(progress.tries_left) and self._record_splitter.split(edit.job_id, patience)
-            except Refused:
+            except TransactionTooLargeError:
                 # a description taken when records were larger; the other jobs' edits must not fail with it
                 log.error("job %s: not even its description fits a record now", edit.job_id)
                 continue
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -64,7 +64,7 @@
         if job.chunks and before is not None:
             chunk_bytes = [
                 packed_bytes(job.chunk_of(number, before).pack(number * job.chunks.size))
-                for number in job.touched(before)
+                for number in job.changed_chunks(before)
             ]
             return max(chunk_bytes, default=0) <= max_bytes
         return self.can_be_split(job) or packed_bytes(job.pack()) <= max_bytes
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -89,9 +89,9 @@
         whole = replace(job, chunks=index)
         open_chunks: dict[int, Chunk] = {}
         finished = 0
-        for number in index.numbers(whole.done | whole.claimed):
+        for number in index.numbers(whole.done | whole.allocated):
             chunk = replace(whole.chunk_of(number, job), source=job.version, started=job.started)
-            if whole.is_over(number, chunk):
+            if whole.chunk_is_finished(number, chunk):
                 finished |= 1 << number
             else:
                 open_chunks[number] = chunk
--- a/tidebend/controller/records/retry_backoff.py
+++ b/tidebend/controller/records/retry_backoff.py
@@ -9,7 +9,8 @@
 
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
 from tidebend.settings import Settings
 
@@ -114,7 +115,7 @@
             for allocation in job.allocations:
                 machine = self._machine_registry.machines.get(allocation.machine)
                 if machine is None:
-                    if time.time() - allocation.at > MAX_PAUSE_LEASES * self._settings.lease_s:
+                    if time.time() - allocation.allocated_at > MAX_PAUSE_LEASES * self._settings.lease_s:
                         return True
                 elif any(
                     now - machine.running_since.get((job.id, index, allocation.attempt), now) > healthy_run_s
--- a/tidebend/controller/records/task_outcomes.py
+++ b/tidebend/controller/records/task_outcomes.py
@@ -5,9 +5,9 @@
 import logging
 
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine
+from tidebend.cluster_state.keys import TaskKey
+from tidebend.cluster_state.machine import Machine
 from tidebend.controller.records.retry_backoff import RetryBackoffs
-from tidebend.controller.records.unrecorded_completions import TaskKey
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 
 log = logging.getLogger("planner")
@@ -28,9 +28,9 @@
 
     def observe(self, machine: Machine, job: Job, key: TaskKey, reason: str | None, now: float) -> None:
         """Evaluate an ended task; `reason` is its reported outcome: "done", "error" or another one."""
-        if key in machine.observed:
+        if key in machine.counted_ends:
             return  # evaluated before: only its record hasn't been written yet
-        machine.observed.add(key)
+        machine.counted_ends.add(key)
         running_since = machine.running_since.pop(key, None)
         if reason == "done":
             self._observe_success(machine, job, None if running_since is None else now - running_since)
--- a/tidebend/controller/records/transaction_builder.py
+++ b/tidebend/controller/records/transaction_builder.py
@@ -39,7 +39,7 @@
         value = new.pack()
         size_bytes = packed_bytes(value)
         max_bytes = self._record_limits.max_value_bytes
-        adds_allocations = new.running > job.running
+        adds_allocations = new.allocated_count > job.allocated_count
         leaves_room = size_bytes <= ALLOCATIONS_SHARE * max_bytes
         if size_bytes > max_bytes or (adds_allocations and self._record_limits.can_be_split(job) and not leaves_room):
             raise RecordTooLargeError(job)
--- a/tidebend/controller/records/uncertain_starts.py
+++ b/tidebend/controller/records/uncertain_starts.py
@@ -4,7 +4,8 @@
 
 import time
 
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.settings import Settings
 
@@ -51,12 +52,12 @@
         return any(
             token >= grant.token and now - sent_at > self._settings.report_s
             for machine in self._machines_in(grant)
-            for token, sent_at in machine.uncertain_starts.values()
+            for token, sent_at in machine.starts.uncertain.values()
         )
 
     def _keeps_ended_tasks_too_long(self, grant: ShardGrant, now: float) -> bool:
         """Whether a machine has kept ended tasks, because of starts that may be repeated, for too long."""
         return any(
-            machine.kept_since is not None and now - machine.kept_since > self._max_kept_s
+            machine.forgetting_deferred_since is not None and now - machine.forgetting_deferred_since > self._max_kept_s
             for machine in self._machines_in(grant)
         )
--- a/tidebend/controller/records/unrecorded_completions.py
+++ b/tidebend/controller/records/unrecorded_completions.py
@@ -6,9 +6,8 @@
 
 from tidebend.coordination import ShardGrant
 from tidebend.protocol import JobSpec
-from tidebend.quota import Amounts
+from tidebend.quota import QuotaAmountLike
 
-TaskKey = tuple[str, int, int]  # job, task index, attempt
 AllocationKey = tuple[str, int, int]  # machine, worker session, attempt
 
 
@@ -20,7 +19,7 @@
     done: int = 0  # bitmap of tasks that succeeded
     grants: set[ShardGrant] = field(default_factory=set)
 
-    def amounts(self, spec: JobSpec) -> Amounts:
+    def amounts(self, spec: JobSpec) -> QuotaAmountLike:
         """Return the CPUs and GPUs of the team's limit that become available once these completions are recorded."""
         tasks = sum(bitmap.bit_count() for bitmap in self.ended.values())
         return tasks * spec.cpus, tasks * spec.gpus
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -10,8 +10,9 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.task_bitmap import lowest, members
-from tidebend.controller.records.completions import CompletionTracker, ProvenCompletions
+from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.records.job_writer import JobEdit, JobWriter
+from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
 from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.pending_jobs import PendingJobs
 from tidebend.coordination import Coordinator
@@ -64,7 +65,7 @@
         self, name: str, group: list[Placement], machines: dict[str, ScheduledMachine], at: float
     ) -> JobEdit:
         """The claim for one job; completions of its tasks that aren't recorded yet go with it."""
-        end = self.completions.proven.get(name)
+        end = self.completions.unrecorded.get(name)
         conditions = dict(self.coordinator.condition(machines[placement.machine].grant) for placement in group)
         if end is not None:
             conditions.update(self.completions.conditions(end))
@@ -72,7 +73,7 @@
         return JobEdit(name, make, conditions)
 
     def _note_claim(self, job: Job, group: list[Placement], now: float) -> None:
-        if job.running >= sum(placement.tasks for placement in group):
+        if job.allocated_count >= sum(placement.tasks for placement in group):
             self.last_allocation[job.id] = now  # else more of its parts follow at once
         log.debug("claimed for %s: %s", job.id, [(placement.machine, placement.tasks) for placement in group])
 
@@ -87,12 +88,12 @@
             limit = self.settings.teams.get(name)
             if limit is None:
                 continue
-            for freed, edit in self.completions.edits_of_team(name):
+            for freed, edit in self.completions.edits_for_team(name):
                 # each of them costs a change: no more than make room
                 if limit.allows(usage.cpus, usage.gpus):
                     break
-                if edit.job not in placements:
-                    usage = usage.less(freed)
+                if edit.job_id not in placements:
+                    usage = usage.minus(freed)
                     edits.append(edit)
         return edits
 
@@ -106,8 +107,8 @@
                 continue
             team = job.spec.team
             usage = usages.get(team) or self.job_writer.job_cache.team(team, held)
-            if name in self.completions.proven:  # these go with the claim anyway
-                usage = usage.less(self.completions.proven[name].amounts(job.spec))
+            if name in self.completions.unrecorded:  # these go with the claim anyway
+                usage = usage.minus(self.completions.unrecorded[name].amounts(job.spec))
             usages[team] = usage.plus(job.spec, sum(placement.tasks for placement in group))
         return usages
 
@@ -118,7 +119,7 @@
         group: list[Placement],
         machines: dict[str, ScheduledMachine],
         at: float,
-        end: ProvenCompletions | None,
+        end: UnrecordedCompletions | None,
     ) -> Job | None:
         """The job with claims for a group of placements; None if it can't have them.
 
@@ -126,8 +127,8 @@
         compares.
         """
         if end is not None:
-            before, job = job, self.completions.job_without(job, usage, end)
-            usage = usage.freed(job.spec, before.running - job.running)
+            before, job = job, self.completions.job_with_completions(job, usage, end)
+            usage = usage.with_tasks_ended(job.spec, before.allocated_count - job.allocated_count)
         pending = job.pending
         gang = job.spec.kind == "gang"
         if gang and not self._may_claim_gang(job, pending, group, at):
@@ -184,10 +185,10 @@
         """
         gang = job.spec.kind == "gang"
         limits = self.job_writer.record_limits
-        new = job.with_claims(allocations)
+        new = job.with_allocations(allocations)
         while not gang and len(allocations) > 1 and not limits.fits(new, job):
             allocations = allocations[: len(allocations) // 2]
-            new = job.with_claims(allocations)
+            new = job.with_allocations(allocations)
         return new if gang or not job.allocations or limits.fits(new, job) else None
 
 
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -9,9 +9,10 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.keys import TaskKey
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
-from tidebend.controller.records.completions import Key
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.protocol import MachineType
@@ -145,10 +146,10 @@
             remaining = math.ceil(remaining / step) * step
         self._taken[remaining] = add(self._taken.get(remaining, NOTHING), need)
 
-    def _remaining_s(self, job: Job, allocation: Allocation, key: Key, estimate: float) -> float:
+    def _remaining_s(self, job: Job, allocation: Allocation, key: TaskKey, estimate: float) -> float:
         """Seconds until a task is expected to have ended; infinite for a service's replica."""
-        if key in self._machine.stops:
-            return self._machine.stops[key] + self._settings.report_s
+        if key in self._machine.stop_requests:
+            return self._machine.stop_requests[key] + self._settings.report_s
         if job.spec.kind == "service":
             return math.inf
         running_since = self._machine.running_since.get(key)
@@ -159,6 +160,6 @@
             remaining = estimate + self._settings.gang_wait_s
         else:
             fetch_s = 0.0 if job.spec.image in self._machine.images else self._kind.fetch_s(job.spec.image_gb)
-            remaining = estimate + max(0.0, fetch_s - (self._clock - allocation.at))
+            remaining = estimate + max(0.0, fetch_s - (self._clock - allocation.allocated_at))
         # an overrunning task is seen at each event anew, and planned around
         return max(remaining, LEAST_REMAINING * estimate, self._settings.report_s)
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Collection, Iterable
 from dataclasses import replace
 
 from tidebend.cluster_state.allocations import Allocation
@@ -14,11 +14,11 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
-from tidebend.controller.records.completions import CompletionTracker
+from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.quota import Amounts, TeamUsage
+from tidebend.quota import QuotaAmountLike, TeamUsage
 from tidebend.scheduling import (
     EPSILON,
     Demand,
@@ -32,7 +32,7 @@
     value_of,
 )
 from tidebend.settings import Settings
-from tidebend.zone_failover import without
+from tidebend.zone_failover import without_lost_zones
 
 # what is placed a moment from now holds its slot for the rest of the event, and doesn't start
 PLACE_HOLDER_DELAY_S = 0.001
@@ -70,7 +70,7 @@
 
     def update_demands(self) -> None:
         """Find out what the jobs of pipelines are asked for by those that need them, however late these came."""
-        after = self.job_cache.waiters()
+        after = self.job_cache.dependents()
         own: dict[str, Demand] = {}
         length: dict[str, float] = {}
         for name in {*after, *(waiter for waiters in after.values() for waiter in waiters)}:
@@ -81,7 +81,7 @@
                 length[name] = self._step_s(job.spec, estimate)
         self._demands = demands(own, length, after)
 
-    def request(self, job: Job, now: float, clock: float, zones: Iterable[str] | None = None) -> TaskRequest | None:
+    def request(self, job: Job, now: float, clock: float, zones: Collection[str] | None = None) -> TaskRequest | None:
         """The request for a job's pending tasks; None if none may start now.
 
         `zones` are those whose shards we hold: the request goes as far as the team's limit allows there. None: in all
@@ -100,7 +100,9 @@
         estimate = self._estimate_s(spec)
         waiting = 1 if is_crash_looping and not gang else pending.bit_count()
         used = self.job_cache.used(spec.team)
-        value = value_of(self._demand(job, estimate), job.since, estimate, self._is_within_guarantee(spec, used))
+        value = value_of(
+            self._demand(job, estimate), job.startable_since, estimate, self._is_within_guarantee(spec, used)
+        )
         return TaskRequest(
             job=job.id,
             spec=spec,
@@ -112,7 +114,7 @@
             reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, clock),
             not_before=self._backed_off_until(job, now, clock),
             resource_share=largest_share(spec, list(self.types().values())),
-            start_by=job.since + self.settings.start_aims.get(spec.job_class, math.inf),
+            start_by=job.startable_since + self.settings.start_aims.get(spec.job_class, math.inf),
             avoids_gpus=self._can_avoid_gpus(spec),
             avoided_machines=self._avoided_machines(job, is_crash_looping, now),
         )
@@ -123,7 +125,7 @@
         Their `not_before` is the time at which they are expected to be ready.
         """
         requests = []
-        after = self.job_cache.waiters()
+        after = self.job_cache.dependents()
         for name in {waiter for waiters in after.values() for waiter in waiters}:
             job = self.job_cache.get(name)
             if job is None or not job.blocked or job.cancelled:
@@ -131,14 +133,12 @@
             ready_in = self._ready_in_s(job, after, clock)
             if ready_in is None:
                 continue
-            request = self.request(replace(job, blocked=False, ready=clock + ready_in), now, clock)
+            request = self.request(job.with_dependencies_done(clock + ready_in), now, clock)
             if request is not None:
                 request.not_before = max(request.not_before, clock + ready_in)
                 requests.append(request)
         return requests
 
-    soon = requests_soon_ready  # the name before; for callers that still use it
-
     def relocation_request(
         self, job: Job, lost_zones: set[str], our_share: Callable[[int], int], now: float, clock: float
     ) -> TaskRequest | None:
@@ -148,7 +148,7 @@
         """
         if job.spec.kind != "service" or job.cancelled:
             return None
-        remaining = without(job, lost_zones)
+        remaining = without_lost_zones(job, lost_zones)
         if remaining is None:
             return None
         request = self.request(remaining, now, clock)
@@ -184,7 +184,7 @@
             if not self._hasnt_begun(job, allocation):
                 return False
         fetch_s = max(self._fetch_times_s(job.spec), default=0.0)
-        gathers_since = min(allocation.at for allocation in job.allocations)
+        gathers_since = min(allocation.allocated_at for allocation in job.allocations)
         return clock + fetch_s - gathers_since < self.settings.gang_wait_s
 
     def _hasnt_begun(self, job: Job, allocation: Allocation) -> bool:
@@ -212,7 +212,7 @@
                 return None
             estimate = self.estimates.corrected(dependency.spec)
             for allocation in dependency.allocations:
-                ready_in = max(ready_in, estimate - (clock - allocation.at))
+                ready_in = max(ready_in, estimate - (clock - allocation.allocated_at))
         return ready_in
 
     def _estimate_s(self, spec: JobSpec) -> float:
@@ -220,13 +220,13 @@
             return self.service_estimate_s
         return max(self.estimates.corrected(spec), LEAST_ESTIMATE_S)
 
-    def _headroom(self, spec: JobSpec, waiting: int, used: Amounts, zones: Iterable[str] | None) -> int:
+    def _headroom(self, spec: JobSpec, waiting: int, used: QuotaAmountLike, zones: Collection[str] | None) -> int:
         """How many of the waiting tasks the team's limit allows in these zones."""
         team = self.settings.teams.get(spec.team)
         if team is None:
             return waiting
         usage = TeamUsage(*used) if zones is None else self.job_cache.team(spec.team, zones)
-        usage = usage.less(self.completions.freed.get(spec.team, (0.0, 0.0)))
+        usage = usage.minus(self.completions.freed.get(spec.team, (0.0, 0.0)))
         headroom = waiting
         if team.cpus_max is not None and spec.cpus > 0:
             headroom = min(headroom, int((team.cpus_max - usage.cpus + EPSILON) // spec.cpus))
@@ -234,7 +234,7 @@
             headroom = min(headroom, int((team.gpus_max - usage.gpus + EPSILON) // spec.gpus))
         return headroom
 
-    def _is_within_guarantee(self, spec: JobSpec, used: Amounts) -> bool:
+    def _is_within_guarantee(self, spec: JobSpec, used: QuotaAmountLike) -> bool:
         """Whether one more task is within its team's guarantee, over all zones."""
         team = self.settings.teams.get(spec.team)
         if team is None:
@@ -254,7 +254,7 @@
         return spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values())
 
     def _avoided_machines(self, job: Job, is_crash_looping: bool, now: float) -> frozenset[str]:
-        return self.completions.avoided(job, now) if is_crash_looping else self._know_the_attempt(job)
+        return self.completions.machines_to_avoid(job, now) if is_crash_looping else self._know_the_attempt(job)
 
     def _know_the_attempt(self, job: Job) -> frozenset[str]:
         """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
@@ -273,7 +273,7 @@
         begun. Guards against small jobs that come faster than the machines allow and are worth more per resource at
         every event: large jobs and long ones waited until they were worth nothing, and were then placed last.
         """
-        reserved_from = job.since + self.reserved_after_s
+        reserved_from = job.startable_since + self.reserved_after_s
         if not job.started and clock > reserved_from:
             return min(reserved_from, value.soft_deadline)
         return value.soft_deadline if is_reserved(value, clock) else None
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -10,9 +10,10 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry
+from tidebend.cluster_state.keys import TaskKey
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.cluster_state.task_bitmap import members
-from tidebend.controller.records.completions import Key
 from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.staggered_claims import ClaimStagger, shard_order
 from tidebend.coordination import Coordinator, shard_of
@@ -41,7 +42,7 @@
     """A running task that may be stopped. Victims compare by what is lost with them, the least first."""
 
     loss: float  # CPU seconds of work
-    key: Key
+    key: TaskKey
     grace_s: float  # seconds it is given to save its state
     amount: Amount
     priority: int  # index of `PRIORITIES`
@@ -66,7 +67,7 @@
     fetch_s: float
     loss: float
     machine_index: int  # among the machines with victims
-    stops: list[tuple[Key, float]]  # tasks and their grace in seconds
+    stops: list[tuple[TaskKey, float]]  # tasks and their grace in seconds
 
 
 class Preemptor:
@@ -154,7 +155,7 @@
         found = []
         for candidate, machine, _ in machines:
             # while tasks are being stopped on a machine room is being made there already
-            if not machine.stops and candidate.reclaimed_at == math.inf:
+            if not machine.stop_requests and candidate.reclaimed_at == math.inf:
                 free, victims = self._free_and_victims(machine, candidate.type, now)
                 if victims:
                     found.append(MachineWithVictims(candidate, machine, free, victims))
@@ -195,7 +196,7 @@
 
     def _stop(self, machine: Machine, plan: StopPlan, request: TaskRequest) -> None:
         with self.machine_registry.lock:
-            machine.stops.update(plan.stops)
+            machine.stop_requests.update(plan.stops)
         log.info(
             "machine %s: %s make room for %s, %.0f s of work lost",
             machine.name,
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -116,7 +116,7 @@
         self.completions.collect()
         if self.coordinator.term is not None:
             with contextlib.suppress(ConflictError):
-                self.quota_rebalancer.establish_shares()
+                self.quota_rebalancer.establish_quotas()
         try:
             began = time.monotonic()
             if began >= self._rest_until:
@@ -143,7 +143,7 @@
         jobs = {job.id: job for job in self.job_cache.live() if job.pending}
         self._forget_all_but(jobs)
         # also while none of our machines can be used: quota of a zone that is cut off lies with whoever took its shard
-        self.quota_releaser.look(jobs.values(), now)
+        self.quota_releaser.release_for(jobs.values(), now)
         relocations = self._relocations(now, clock)
         if not jobs and not relocations:
             return
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -13,15 +13,17 @@
 
 from tidebend import protocol
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry, cancelled_stops, commands_for
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
+from tidebend.cluster_state.reconciliation import commands_for, stop_commands_for_cancelled
 from tidebend.controller import connection_limits
 from tidebend.controller.workers.heartbeats import MAX_COMMANDS
 from tidebend.controller.workers.peer_machines import machines_of
 from tidebend.coordination import Coordinator, PeerExchange, ShardGrant, shard_of
-from tidebend.protocol import Command, Invalid
+from tidebend.protocol import Command, InvalidMessageError
 from tidebend.settings import Settings
 from tidebend.threads import start_daemon
-from tidebend.transport import HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("workers")
 
@@ -189,17 +191,17 @@
         if lease_valid:
             commands = commands_for(machine, allocations, token, direct=True)
         else:
-            commands = cancelled_stops(machine, allocations)
+            commands = stop_commands_for_cancelled(machine, allocations)
         return commands[:MAX_COMMANDS]
 
     def _send(self, name: str, request: _Request, client: HttpClient) -> None:
         path, body = protocol.direct_commands(request.token, request.session, request.commands)
         try:
             status, answer = client.request("POST", path, body, self._timeout_s)
-        except Unreachable:
+        except UnreachableError:
             self._settle_starts(name, request)
             return
-        except NoAnswer as error:
+        except NoAnswerError as error:
             log.info("direct commands to %s: %s", name, error)
             return  # they may be executed yet: the outcome of the starts stays uncertain
         if status not in (200, 409):
@@ -210,7 +212,7 @@
     def _record_answer(self, name: str, request: _Request, answer: Any) -> None:
         try:
             report = protocol.parse_report(answer)
-        except Invalid as error:
+        except InvalidMessageError as error:
             log.error("machine %s: unexpected answer: %s", name, error)
             return
         with self._machine_registry.lock:
@@ -226,6 +228,4 @@
             if machine is None:
                 return
             for key in request.starts:
-                token, _ = machine.uncertain_starts.get(key, (0, 0.0))
-                if token == request.token:
-                    del machine.uncertain_starts[key]
+                machine.starts.resolve_direct_start(key, request.token)
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -10,11 +10,13 @@
 
 from tidebend import protocol
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.machine_registry import Machine, MachineRegistry, cancelled_stops, commands_for
-from tidebend.controller.api.job_api import parse_body, unavailable_reply
+from tidebend.cluster_state.machine import Machine
+from tidebend.cluster_state.machine_registry import MachineRegistry
+from tidebend.cluster_state.reconciliation import commands_for, stop_commands_for_cancelled
+from tidebend.controller.api.replies import parse_body, unavailable_reply
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.kvclient import WatchCache
-from tidebend.protocol import Command, Invalid, Report
+from tidebend.protocol import Command, InvalidMessageError, Report
 from tidebend.settings import Settings
 from tidebend.transport import Reply
 
@@ -65,7 +67,7 @@
         try:
             report = protocol.parse_report(parse_body(raw))
             self._check(report)
-        except Invalid as error:
+        except InvalidMessageError as error:
             log.info("a report is refused: %s", error)
             return Reply(400, {"error": str(error)})
         shard = shard_of(report.zone)
@@ -80,13 +82,18 @@
         return self._accept(report, grant)
 
     def _check(self, report: Report) -> None:
-        """Raise Invalid for what the body alone doesn't show: an unknown zone, a machine that has changed its type."""
+        """Check what the body alone doesn't show.
+
+        Raises InvalidMessageError for an unknown zone, and for a machine that has changed its type.
+        """
         if report.zone not in self._settings.zones:
-            raise Invalid(f"harbor: expected one of {', '.join(self._settings.zones)}")
+            raise InvalidMessageError(f"harbor: expected one of {', '.join(self._settings.zones)}")
         with self._machine_registry.lock:
             known = self._machine_registry.machines.get(report.machine)
         if known is not None and (known.type, known.zone, known.spot) != (report.type, report.zone, report.spot):
-            raise Invalid(f"vessel: {report.machine} is a {known.type} in {known.zone}{' (spot)' * known.spot}")
+            raise InvalidMessageError(
+                f"vessel: {report.machine} is a {known.type} in {known.zone}{' (spot)' * known.spot}"
+            )
 
     def _is_news(self, report: Report) -> bool:
         """Whether a report is newer than all that came to us from its machine, whoever holds its shard.
@@ -139,7 +146,7 @@
         if self._coordinator.lease_valid:
             commands = commands_for(machine, allocations, token, direct=False)
         else:
-            commands = cancelled_stops(machine, allocations)
+            commands = stop_commands_for_cancelled(machine, allocations)
         return commands[:MAX_COMMANDS]
 
 
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -19,7 +19,7 @@
 from tidebend.coordination import Coordinator, PeerExchange, shard_of
 from tidebend.settings import Settings
 from tidebend.threads import start_daemon
-from tidebend.transport import HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("witness")
 
@@ -201,7 +201,7 @@
         try:
             self._connect(probe.address, max_idle=0).request("GET", protocol.PATH_SHOW, None, self._timeout_s)
             has_answered = True
-        except (Unreachable, NoAnswer) as error:
+        except (UnreachableError, NoAnswerError) as error:
             log.debug("%s:%d: %s", *probe.address, error)
         finally:
             with self._lock:
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -8,7 +8,6 @@
     NotExecutedError,
     OutcomeUnknownError,
     OverBudgetError,
-    Refused,
     TransactionTooLargeError,
 )
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
@@ -30,7 +29,6 @@
     "NotExecutedError",
     "OutcomeUnknownError",
     "OverBudgetError",
-    "Refused",
     "RequestKind",
     "TransactionTooLargeError",
     "VersionedValue",
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -22,7 +22,7 @@
 from tidebend.kvclient.results import ABSENT, Changes, Page, VersionedValue
 from tidebend.protocol import Write
 from tidebend.settings import Limits
-from tidebend.transport import HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("storage")
 
@@ -161,7 +161,7 @@
         if status == GONE:
             return None
         _expect_ok(status)
-        return Changes(*_parse(protocol.parse_changes, answer, (protocol.Invalid, KeyError, TypeError)))
+        return Changes(*_parse(protocol.parse_changes, answer, (protocol.InvalidMessageError, KeyError, TypeError)))
 
     def grant_lease(self, seconds: float) -> int:
         """A new lease of that length; returns its number."""
@@ -201,9 +201,9 @@
     def _send(self, request: _Request) -> tuple[int, Any]:
         try:
             return self._http.request(request.method, request.path, request.body, request.timeout_s or self.timeout)
-        except Unreachable as error:
+        except UnreachableError as error:
             raise NotExecutedError(str(error)) from error
-        except NoAnswer as error:
+        except NoAnswerError as error:
             raise OutcomeUnknownError(str(error)) from error
 
 
@@ -213,7 +213,9 @@
 
 
 def _parse(
-    parse: Callable[[Any], Parsed], answer: Any, malformed: tuple[type[Exception], ...] = (protocol.Invalid,)
+    parse: Callable[[Any], Parsed],
+    answer: Any,
+    malformed: tuple[type[Exception], ...] = (protocol.InvalidMessageError,),
 ) -> Parsed:
     """Read an answer; one that can't be read leaves the outcome unknown."""
     try:
--- a/tidebend/kvclient/errors.py
+++ b/tidebend/kvclient/errors.py
@@ -42,7 +42,3 @@
 
 class LeaseNotFoundError(KeyValueError):
     """Not executed: the request named a lease that has ended."""
-
-
-# the former name, until its callers have taken the present one
-Refused = TransactionTooLargeError
--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -8,7 +8,7 @@
 from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 from tidebend.kvclient.steady_time import NEVER
 from tidebend.settings import Limits
-from tidebend.transport import Budget
+from tidebend.transport import TokenBucket
 
 # A controller's share is so many times an equal one, since the others seldom use theirs in the same second; when they
 # do, the store refuses, which is safe, and the refused back off.
@@ -35,10 +35,10 @@
         self._share = min(1.0, EQUAL_SHARES / controllers)
         self._controllers = controllers
         self._timeout_s = timeout_s
-        self._requests = Budget(limits.rps * self._share)
-        self._writes = Budget(limits.write_rps * self._share)
-        self._submissions = Budget(SUBMIT_SHARE * self.writes_per_s)
-        self._refusals = Budget(REFUSED_SHARE * limits.rps)
+        self._requests = TokenBucket(limits.rps * self._share)
+        self._writes = TokenBucket(limits.write_rps * self._share)
+        self._submissions = TokenBucket(SUBMIT_SHARE * self.writes_per_s)
+        self._refusals = TokenBucket(REFUSED_SHARE * limits.rps)
         self._busy_until = NEVER  # steady time
         self._set_pauses(limits)
 
--- a/tidebend/kvstore/__init__.py
+++ b/tidebend/kvstore/__init__.py
@@ -20,14 +20,10 @@
 
 __all__ = [
     "ConditionFailedError",
-    "Damaged",  # alias for the time of joining
     "DataDamagedError",
-    "Direct",  # alias for the time of joining
     "DirectoryLock",
     "DirectoryLockedError",
     "Engine",
-    "Failed",  # alias for the time of joining
-    "Held",  # alias for the time of joining
     "InProcessClient",
     "Item",
     "LeaseEndedError",
@@ -35,8 +31,3 @@
     "StoreUnavailableError",
     "Write",
 ]
-
-Damaged = DataDamagedError  # alias for the time of joining
-Direct = InProcessClient  # alias for the time of joining
-Failed = StoreUnavailableError  # alias for the time of joining
-Held = DirectoryLockedError  # alias for the time of joining
--- a/tidebend/kvstore/engine.py
+++ b/tidebend/kvstore/engine.py
@@ -9,7 +9,7 @@
 from tidebend.kvstore.commit_queue import CommitQueue
 from tidebend.kvstore.database import FACT_LAST_LEASE, FACT_REVISION, open_checked, read_facts, read_leases
 from tidebend.kvstore.directory_lock import DirectoryLock
-from tidebend.kvstore.errors import ConditionFailedError, StoreUnavailableError
+from tidebend.kvstore.errors import StoreUnavailableError
 from tidebend.kvstore.leases import LeaseClock
 from tidebend.kvstore.operations import EndExpiredLeases, GrantLease, Transact
 from tidebend.kvstore.reads import ReaderPool
@@ -19,8 +19,6 @@
 # How long a change is waited for when the caller says nothing else.
 TIMEOUT_S = 5.0
 
-ConditionFailed = ConditionFailedError  # alias for the time of joining
-
 
 class Engine:
     """A durable key-value store with revisions, transactions and leases; one per directory. Safe for several threads.
--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -128,7 +128,6 @@
     "TASK_STATES",
     "TASK_WAITING",
     "Command",
-    "Invalid",  # alias for the time of joining
     "InvalidMessageError",
     "JobSpec",
     "ListedMachine",
@@ -164,5 +163,3 @@
     "task_name",
     "transaction",
 ]
-
-Invalid = InvalidMessageError  # alias for the time of joining
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -48,7 +48,7 @@
 # The most tasks that one job may have.
 MOST_TASKS = 100_000
 
-# Amounts are compared with this tolerance, so that rounding doesn't turn down a task that fits exactly.
+# QuotaAmountLike are compared with this tolerance, so that rounding doesn't turn down a task that fits exactly.
 AMOUNT_TOLERANCE = 1e-6
 # A fetch rate of 0 would mean a division by zero.
 LEAST_FETCH_GB_PER_S = 1e-6
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -19,7 +19,7 @@
 from tidebend.agent import WriteAheadLog, end_leftovers
 from tidebend.agent.processes import is_there
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLogError
-from tidebend.kvstore.disk_log import DirectoryLock, Held
+from tidebend.kvstore import DirectoryLock, DirectoryLockedError
 
 log = logging.getLogger("provider")
 
@@ -77,7 +77,7 @@
     def _free(self, name: str) -> bool:
         try:
             DirectoryLock(self.directory(name)).release()
-        except Held:
+        except DirectoryLockedError:
             return False
         return True
 
@@ -138,7 +138,7 @@
             try:
                 lock = DirectoryLock(self.directory(name))
                 break
-            except Held:
+            except DirectoryLockedError:
                 self._signal(name, signal.SIGKILL)
                 if time.monotonic() > deadline:
                     return False
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -18,12 +18,11 @@
 
 import msgspec
 
-from tidebend.kvstore import Engine, Failed
-from tidebend.kvstore.engine import ConditionFailed, Write
+from tidebend.kvstore import ConditionFailedError, Engine, StoreUnavailableError, Write
 from tidebend.messages import paths
 from tidebend.protocol import cloud as wire
 from tidebend.provider.agents import AgentProcesses
-from tidebend.transport import HttpClient, NoAnswer, Unreachable
+from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("provider")
 
@@ -154,7 +153,7 @@
     # Agents that join
 
     def join(self, nonce: str, kind: str, label: str, left: list[str]) -> str:
-        """The machine's name. Raises JoinRefusedError, or Failed if it can't be recorded."""
+        """The machine's name. Raises JoinRefusedError, or StoreUnavailableError if it can't be recorded."""
         if kind not in self._kinds:
             raise JoinRefusedError(f"kind: {kind!r} is none of {', '.join(self._kinds)}")
         with self._step:
@@ -203,7 +202,7 @@
                 return 200, self._list(query)
         except msgspec.ValidationError as error:
             return 400, {"error": str(error)}
-        except (Failed, ConditionFailed, NotYet) as error:
+        except (StoreUnavailableError, ConditionFailedError, NotYet) as error:
             return 503, {"error": f"trouble: {error}"}
         return 404, {"error": "no such path"}
 
@@ -270,7 +269,7 @@
             return False
         try:
             status, _ = self._connect(address).request("POST", paths.AGENT_LEAVE, {"machine": name}, LEAVE_S)
-        except (Unreachable, NoAnswer) as error:
+        except (UnreachableError, NoAnswerError) as error:
             log.info("%s can't be told to leave: %s", name, error)
             return False
         return status == 200
@@ -292,7 +291,7 @@
         while not self._ended.wait(TEND_S):
             try:
                 self.tend_once()
-            except (Failed, ConditionFailed, NotYet) as error:
+            except (StoreUnavailableError, ConditionFailedError, NotYet) as error:
                 log.info("machines aren't tended: %s", error)
             except Exception:
                 log.exception("provider")
--- a/tidebend/quota/team_usage.py
+++ b/tidebend/quota/team_usage.py
@@ -54,11 +54,3 @@
     def pack(self) -> list[float]:
         """Return the record under `TEAM`."""
         return list(self.charged)
-
-    # FORMER NAMES BEGIN
-
-    less = minus
-    freed = with_tasks_ended
-    without = without_charge
-
-    # FORMER NAMES END
--- a/tidebend/quota/usage_index.py
+++ b/tidebend/quota/usage_index.py
@@ -83,9 +83,3 @@
         charged, version = self._charged.get(name, _ChargedRecord(NOTHING, 0))
         ended = self._ended.get(name, NOTHING)
         return TeamUsage(amount(charged.cpus - ended[0]), amount(charged.gpus - ended[1]), version, charged)
-
-    # FORMER NAMES BEGIN
-
-    count_claim = count_allocated
-
-    # FORMER NAMES END
--- a/tidebend/transport/__init__.py
+++ b/tidebend/transport/__init__.py
@@ -15,25 +15,16 @@
 __all__ = [
     "MAX_BODY",
     "MAX_FRAME",
-    "BadRequest",  # alias for the time of joining
     "BadRequestError",
-    "Budget",  # alias for the time of joining
     "FrameServer",
     "Handler",
     "HttpClient",
-    "NoAnswer",  # alias for the time of joining
     "NoAnswerError",
     "Reply",
     "Route",
     "Server",
     "TokenBucket",
-    "Unreachable",  # alias for the time of joining
     "UnreachableError",
     "receive_frame",
     "send_frame",
 ]
-
-BadRequest = BadRequestError  # alias for the time of joining
-Budget = TokenBucket  # alias for the time of joining
-NoAnswer = NoAnswerError  # alias for the time of joining
-Unreachable = UnreachableError  # alias for the time of joining
--- a/tidebend/transport/replies.py
+++ b/tidebend/transport/replies.py
@@ -23,8 +23,6 @@
         content_type: str = JSON_TYPE,
         close_if_crowded: bool = False,
         close_connection: bool = False,
-        kind: str | None = None,  # alias for the time of joining
-        yields: bool = False,  # alias for the time of joining
     ) -> None:
         """`body` is sent as JSON, bytes as they are, None as an empty body.
 
@@ -35,31 +33,10 @@
         self.status = status
         self.body = body
         self.headers = headers or {}
-        self.content_type = kind or content_type
-        self.close_if_crowded = close_if_crowded or yields
+        self.content_type = content_type
+        self.close_if_crowded = close_if_crowded
         self.close_connection = close_connection
 
-    # ALIASES FOR THE TIME OF JOINING BEGIN
-    @property
-    def yields(self) -> bool:
-        """Alias of `close_if_crowded`."""
-        return self.close_if_crowded
-
-    @yields.setter
-    def yields(self, value: bool) -> None:
-        self.close_if_crowded = value
-
-    @property
-    def closes(self) -> bool:
-        """Alias of `close_connection`."""
-        return self.close_connection
-
-    @closes.setter
-    def closes(self, value: bool) -> None:
-        self.close_connection = value
-
-    # ALIASES FOR THE TIME OF JOINING END
-
 
 # Called with the method, the path with its query, and what reads the body; returns the reply or raises it, or raises
 # BadRequestError. The body is read only if the route asks for it.
--- a/tidebend/transport/request_handler.py
+++ b/tidebend/transport/request_handler.py
@@ -33,7 +33,7 @@
 
     def setup(self) -> None:
         """Give the socket the server's idle timeout."""
-        self.timeout = self.server.idle_s  # type: ignore[misc]  # the library reads it through the instance, too
+        self.timeout = self.server.idle_timeout_s  # type: ignore[misc]  # the library reads it through the instance, too
         super().setup()
 
     def handle(self) -> None:
@@ -60,7 +60,7 @@
         except OSError:  # the next read finds it, too, and ends the connection
             return True
         finally:
-            self.connection.settimeout(self.server.idle_s)
+            self.connection.settimeout(self.server.idle_timeout_s)
 
     # Reading
 
@@ -89,9 +89,9 @@
 
     def _read_body(self, length: int) -> bytes:
         # a sender that is slow with its body doesn't hold the thread for long
-        self.connection.settimeout(self.server.body_s)
+        self.connection.settimeout(self.server.body_timeout_s)
         data = self.rfile.read(length)
-        self.connection.settimeout(self.server.idle_s)
+        self.connection.settimeout(self.server.idle_timeout_s)
         self._body_was_read = True
         if len(data) < length:
             raise BadRequestError("the body is cut short")
--- a/tidebend/transport/server.py
+++ b/tidebend/transport/server.py
@@ -28,7 +28,7 @@
     Connections aren't bounded by threads. Once three quarters of `max_threads` are in use, a connection that is idle,
     new or after its answer, is parked: one thread watches all of these, and each gets a thread again when there is
     something to read. Should there be none, connections wait for one in the order of their requests. A parked
-    connection is closed when it was idle for `idle_s`, as others are.
+    connection is closed when it was idle for `idle_timeout_s`, as others are.
 
     Connections with TLS are parked, too, see `Handler._has_bytes`; the handshake of one that was parked as it came
     begins with the client's first bytes.
@@ -43,28 +43,26 @@
         self,
         address: tuple[str, int],
         route: Route,
-        idle_s: float,
-        body_s: float,
-        max_connections: int = 0,
+        idle_timeout_s: float,
+        body_timeout_s: float,
+        max_connections: int,
         handler: type[Handler] = Handler,
         backlog: int = BACKLOG,
         max_threads: int | None = None,
-        most: int = 0,  # alias for the time of joining
     ) -> None:
         """Binds and listens. Raises OSError, or RuntimeError if no thread is to be had.
 
-        `idle_s`: seconds after which an idle connection is closed.
-        `body_s`: seconds that each read of a request's body may wait.
+        `idle_timeout_s`: seconds after which an idle connection is closed.
+        `body_timeout_s`: seconds that each read of a request's body may wait.
         `max_connections`: connections that may be open at a time.
         `backlog`: connections that may wait to be accepted; they have sockets, too.
         `max_threads`: threads that serve connections; where it is None, or not below `max_connections`, nothing is ever
         parked.
         """
-        max_connections = max_connections or most  # alias for the time of joining
         self.request_queue_size = backlog
         self.route = route
-        self.idle_s = idle_s
-        self.body_s = body_s
+        self.idle_timeout_s = idle_timeout_s
+        self.body_timeout_s = body_timeout_s
         self._handler = handler
         self._count = ConnectionCount(max_connections)
         parks = max_threads is not None and max_threads < max_connections
@@ -72,7 +70,7 @@
         self._idle: IdleConnections | None = None
         super().__init__(address, handler)
         if parks:
-            self._idle = IdleConnections(idle_s, self._submit, self._end)
+            self._idle = IdleConnections(idle_timeout_s, self._submit, self._end)
 
     def _make_threads(self, max_connections: int, max_threads: int | None) -> ConnectionThreads:
         """Without a bound of their own there is a thread for each connection, and they are never scarce."""
