--- a/lab/__main__.py
+++ b/simulation/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m lab run | compare | sweep | model | search: experiments on virtual time; see docs/laboratory.md."""
+"""python3 -m simulation run | compare | sweep | model | search: experiments on virtual time; see docs/laboratory.md."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from lab.experiment import read
-from lab.model import FAULTS, Size, explore
-from lab.plays import VersionNotFoundError, play_all
-from lab.search import FAULTS as SEARCH_FAULTS
-from lab.search import search as find
+from simulation.experiment import read
+from simulation.model import FAULTS, Size, explore
+from simulation.plays import VersionNotFoundError, play_all
+from simulation.search import FAULTS as SEARCH_FAULTS
+from simulation.search import search as find
 from tidebend.hcl import HclFileError
 
 BROKEN, UNUSABLE = 1, 2
@@ -120,13 +120,13 @@
 
 def parser() -> argparse.ArgumentParser:
     made = argparse.ArgumentParser(
-        prog="python3 -m lab",
+        prog="python3 -m simulation",
         description=__doc__,
         epilog="exit status: 0 fine, 1 a rule was broken, 2 it could not run",
     )
     commands = made.add_subparsers(dest="command", required=True)
     common = argparse.ArgumentParser(add_help=False)
-    common.add_argument("experiment", help="an HCL file, as in lab/experiments")
+    common.add_argument("experiment", help="an HCL file, as in simulation/experiments")
     common.add_argument("--seeds", default="1", help="as 1 or 1,2,3 (default 1)")
     common.add_argument(
         "--set",
@@ -216,7 +216,7 @@
         return search(arguments)
     errors = Console(stderr=True)
     if arguments.svg and importlib.util.find_spec("matplotlib") is None:
-        errors.print("lab: --svg needs what requirements-bench.txt names", highlight=False)
+        errors.print("simulation: --svg needs what requirements-bench.txt names", highlight=False)
         return UNUSABLE
     try:
         seeds = [int(word) for word in arguments.seeds.split(",")]
@@ -237,7 +237,7 @@
             arguments.json,
         )
     except (HclFileError, VersionNotFoundError, ValueError) as error:
-        errors.print(f"lab: {error}", markup=False, highlight=False)
+        errors.print(f"simulation: {error}", markup=False, highlight=False)
         return UNUSABLE
     if arguments.json:
         print(json.dumps(results, indent=1))
--- a/lab/cloud.py
+++ b/simulation/cloud.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lab.workers import Worker
+from simulation.workers import Worker
 
 
 @dataclass
--- a/lab/former_driver.py
+++ b/simulation/former_driver.py
@@ -8,7 +8,7 @@
 import importlib
 from typing import Any
 
-from lab.drivers import ControllerDriver
+from simulation.drivers import ControllerDriver
 
 
 def former_controller() -> Any:
--- a/lab/play.py
+++ b/simulation/play.py
@@ -6,12 +6,12 @@
 import random
 from collections.abc import Callable
 
-from lab.checker import breaches
-from lab.experiment import Experiment, Jobs, Trouble
-from lab.links import Cut
-from lab.report import Sampler, report
-from lab.versions import Version, current
-from lab.world import TICK, World
+from simulation.checker import breaches
+from simulation.experiment import Experiment, Jobs, Trouble
+from simulation.links import Cut
+from simulation.report import Sampler, report
+from simulation.versions import Version, current
+from simulation.world import TICK, World
 from tidebend.protocol import RANKS, SHAPES
 
 _SHAPES = {ours: theirs for theirs, ours in SHAPES.items()}
--- a/lab/plays.py
+++ b/simulation/plays.py
@@ -8,9 +8,9 @@
 from rich.console import Console
 from rich.progress import Progress
 
-from lab.experiment import read
-from lab.play import play
-from lab.versions import at
+from simulation.experiment import read
+from simulation.play import play
+from simulation.versions import at
 
 
 class VersionNotFoundError(Exception):
--- a/lab/report.py
+++ b/simulation/report.py
@@ -6,7 +6,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from lab.world import World
+from simulation.world import World
 
 QUOTA = "tidebend/live/quota/"
 # a team counts as at its limit from this share of it on: a task more may not fit
--- a/lab/search.py
+++ b/simulation/search.py
@@ -13,10 +13,10 @@
 from dataclasses import replace
 from unittest import mock
 
-from lab.checker import BesideRoom, judged, starts_after_cancellation
-from lab.links import Cut
-from lab.play import cut_zone
-from lab.world import World
+from simulation.checker import BesideRoom, judged, starts_after_cancellation
+from simulation.links import Cut
+from simulation.play import cut_zone
+from simulation.world import World
 from tidebend.cluster_state.machine import Machine
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.records.completion_tracker import CompletionTracker
--- a/lab/versions.py
+++ b/simulation/versions.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from lab.drivers import ControllerDriver
-from lab.former_driver import FormerControllerDriver, former_controller, former_failures
+from simulation.drivers import ControllerDriver
+from simulation.former_driver import FormerControllerDriver, former_controller, former_failures
 
 ROOT = Path(__file__).resolve().parents[1]
 
--- a/lab/world.py
+++ b/simulation/world.py
@@ -12,10 +12,10 @@
 from collections import Counter
 from unittest import mock
 
-from lab.cloud import Cloud
-from lab.links import Link
-from lab.state import StateService
-from lab.versions import Version, current
+from simulation.cloud import Cloud
+from simulation.links import Link
+from simulation.state import StateService
+from simulation.versions import Version, current
 
 NEW = current()
 TICK = 0.1
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lab.checker import BesideRoom, breaches, judged
-from lab.world import World
+from simulation.checker import BesideRoom, breaches, judged
+from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lab.checker import breaches
+from simulation.checker import breaches
 from tests.test_scenarios import JOB
 
 TEAMS = [{"name": "team", "cpus_max": 10.0}]
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lab.world import World
+from simulation.world import World
 from tests.test_scenarios import JOB
 from tidebend.autoscaling import Offer, Rental
 from tidebend.cluster_state.allocations import Allocation
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lab.checker import BesideRoom, judged
-from lab.links import Cut
-from lab.play import cut_zone
-from lab.search import TIMES
+from simulation.checker import BesideRoom, judged
+from simulation.links import Cut
+from simulation.play import cut_zone
+from simulation.search import TIMES
 from tests.test_answers import small
 from tests.test_meetings import leader_of
 from tests.test_scenarios import JOB
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from lab.__main__ import UNUSABLE, figure, main
-from lab.experiment import read
-from lab.play import play
+from simulation.__main__ import UNUSABLE, figure, main
+from simulation.experiment import read
+from simulation.play import play
 from tidebend.hcl import HclFileError
 
 SMALL = """cluster {
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lab.checker import BesideRoom, judged, starts_after_cancellation
-from lab.world import World
+from simulation.checker import BesideRoom, judged, starts_after_cancellation
+from simulation.world import World
 from tests.test_answers import ask, small
 from tests.test_hand_overs import GANG, LONG, SERVICE, run
 from tests.test_scenarios import JOB
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from lab.checker import breaches
-from lab.links import Cut
-from lab.world import World
+from simulation.checker import breaches
+from simulation.links import Cut
+from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tests.test_troubles import TEAMS, ZONES, busy
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -6,14 +6,14 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lab.model import Size, explore, walk
+from simulation.model import Size, explore, walk
 
 LARGER = Size(zones=3, holders=3, moves=4, late=2, limit=3.0)
 
 
 def test_every_order_keeps_shares_within_the_limit_and_claims_within_shares():
     found = explore(Size(zones=2, holders=2), most=500)
-    assert (found.states, found.breach) == (499, "")  # bounded here; `python3 -m lab model` goes on
+    assert (found.states, found.breach) == (499, "")  # bounded here; `python3 -m simulation model` goes on
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None, suppress_health_check=[HealthCheck.too_slow])
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -121,7 +121,7 @@
 
 
 def client_of(outcome, limits=LIMITS):
-    return KeyValueClient(("state", 1), limits, 3, 0.9, connect=lambda address, keep: Answering(outcome))
+    return KeyValueClient(("state", 1), limits, 3, 0.9, connect=lambda address, max_idle: Answering(outcome))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from lab.checker import breaches
-from lab.links import Copies, Cut
-from lab.versions import production
-from lab.world import World
+from simulation.checker import breaches
+from simulation.links import Copies, Cut
+from simulation.versions import production
+from simulation.world import World
 
 SCENARIOS = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
 JOB = {
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from lab.__main__ import main
-from lab.checker import forgotten
-from lab.search import FAULTS, MEETINGS, play, play_with
+from simulation.__main__ import main
+from simulation.checker import forgotten
+from simulation.search import FAULTS, MEETINGS, play, play_with
 from tidebend.controller.api.job_api import JobApi, unavailable_reply
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lab.world import World
+from simulation.world import World
 from tidebend.cli import main
 from tidebend.settings import Knobs, SettingsError, load_knobs, load_settings, read_settings
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -19,7 +19,7 @@
     waits."""
     world.crash(node, 0.0)
     version = world.versions[node]
-    from lab.links import Link
+    from simulation.links import Link
 
     controller = version.controller(world.settings(node), Link(world, node, version))
     world.controllers[node] = controller
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lab.checker import breaches
-from lab.links import Copies, Cut
-from lab.world import World
+from simulation.checker import breaches
+from simulation.links import Copies, Cut
+from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
 from tidebend.cluster_state.allocations import Allocation
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lab.world import World
+from simulation.world import World
 from tests.test_guards import begun
 from tests.test_scenarios import Scenario
 from tidebend.cluster_state.final_states import pack_final, unpack_final
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lab.links import Cut
+from simulation.links import Cut
 from tests.test_guards import begun, in_parts, spec
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
