--- a/simulation/model.py
+++ b/simulation/model.py
@@ -14,7 +14,7 @@
 
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError
-from tidebend.quota import QUOTA, UsageIndex
+from tidebend.quota import QUOTA_PREFIX, UsageIndex
 from tidebend.settings import Team
 
 TEAM = "t"
@@ -100,7 +100,7 @@
     def _accounts(self) -> UsageIndex:
         accounts = UsageIndex()
         for key, (value, version) in self.cache.items():
-            if key == QUOTA + TEAM:
+            if key == QUOTA_PREFIX + TEAM:
                 accounts.on_change(key, _quota(value), version)
             elif key.startswith("job/"):
                 accounts.count_allocated(SimpleNamespace(team=TEAM, cpus=1.0, gpus=0.0), key.split("/")[1], value)
@@ -125,8 +125,8 @@
         fault = self.model.fault
         if fault == "no_fence":
             conditions = {key: version for key, version in conditions.items() if not key.startswith("block/")}
-        if fault == "no_compare" and all(key != QUOTA + TEAM for key, _, _ in writes):
-            conditions = {key: version for key, version in conditions.items() if key != QUOTA + TEAM}
+        if fault == "no_compare" and all(key != QUOTA_PREFIX + TEAM for key, _, _ in writes):
+            conditions = {key: version for key, version in conditions.items() if key != QUOTA_PREFIX + TEAM}
         plain = (tuple(sorted(conditions.items())), tuple((key, _frozen(value)) for key, value, _ in writes))
         late = len(self.pending) < self.model.size.late
         outcome = OUTCOMES[self.choose(4)]
@@ -165,7 +165,7 @@
         if not self.model.team.allows(usage.cpus + 1.0, usage.gpus):
             return
         made = self.shares.change_for_allocation(
-            TEAM, usage.shares, already_added={}, already_written=None, added={zone: (1.0, 0.0)}, held_zones=held
+            TEAM, usage.zone_quotas, already_added={}, already_written=None, added={zone: (1.0, 0.0)}, held_zones=held
         )
         if made is None:
             return
@@ -201,7 +201,7 @@
         self.team = Team(TEAM, 0.0, 0.0, size.limit, None)
 
     def first(self) -> State:
-        items = {QUOTA + TEAM: (_frozen({zone: [0.0, 0.0] for zone in self.zones}), 1)}
+        items = {QUOTA_PREFIX + TEAM: (_frozen({zone: [0.0, 0.0] for zone in self.zones}), 1)}
         items.update((key, (0, 1)) for _, key in self.jobs)
         items.update((f"block/{zone}", (number % self.size.holders, 1)) for number, zone in enumerate(self.zones))
         rows = self._rows(items)
@@ -274,7 +274,7 @@
     def breach(self, state: State) -> str:
         """The invariant: claims in a zone lie within its share, and shares together within the limit."""
         values = {key: value for key, value, _ in state.items}
-        shares = _quota(values[QUOTA + TEAM])
+        shares = _quota(values[QUOTA_PREFIX + TEAM])
         used = {zone: sum(values[key] for where, key in self.jobs if where == zone) for zone in self.zones}
         if sum(used.values()) > self.size.limit + 1e-6:
             return f"{sum(used.values())} in use of {self.size.limit}"
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,7 +10,7 @@
 
 from simulation.world import World
 from tests.test_scenarios import JOB
-from tidebend.autoscaling import Offer, Rental
+from tidebend.autoscaling import Offer, ProvisionRequest
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import JOB as JOB_KEY
 from tidebend.cluster_state.job_records import Job
@@ -95,7 +95,7 @@
     def edit(job, usage):
         free = job.pending & tasks
         if not free or not controller.settings.teams["team"].allows(
-            *[getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
+            *[getattr(usage.with_tasks_allocated(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
         ):
             return None
         return job.with_allocations([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
@@ -384,7 +384,7 @@
 def shared(world, **limit):
     """Two controllers that hold a zone each, and a team with that limit in shares, all of it free."""
     pair = stale_pair(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
-    assert pair[0].job_cache.team("team").shares
+    assert pair[0].job_cache.team("team").zone_quotas
     return pair
 
 
@@ -409,7 +409,9 @@
 
     def edit(job, usage):
         wanted = job.pending & tasks
-        if not controller.settings.teams["team"].allows(usage.plus(job.spec, wanted.bit_count()).cpus, 0.0):
+        if not controller.settings.teams["team"].allows(
+            usage.with_tasks_allocated(job.spec, wanted.bit_count()).cpus, 0.0
+        ):
             return None
         return job.with_allocations([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
 
@@ -421,7 +423,7 @@
     assert claim_in(first, "north", "a", 0b111) is not None
     assert claim_in(second, "south", "b", 0b11111111) is None  # only five are left, as it learns by the conflict
     assert claim_in(second, "south", "b", 0b1) is not None
-    shares = second.job_cache.team("team").shares
+    shares = second.job_cache.team("team").zone_quotas
     assert sum(row[0] for row in shares.zones.values()) <= 8.0
     # within its share a claim changes nothing but the job, so that it collides with nobody
     before = world.state.revision
@@ -441,7 +443,7 @@
     """Two jobs' claims within one share don't compare each other's records: the late one must not come on top."""
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None
-    share = int(first.job_cache.team("team").shares.zones["north"][0])
+    share = int(first.job_cache.team("team").zone_quotas.zones["north"][0])
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
         claim_in(first, "north", "a", (1 << share) - 1)
     assert claim_in(first, "north", "b", (1 << share - 1) - 1) is not None
@@ -455,17 +457,17 @@
     old_world.state.transact({"if": [], "writes": [{"put": "tidebend/live/format", "v": {"version": 2}}]})
     first.cache.catch_up(0.0, "claim")
     first.quota_rebalancer.establish_quotas()
-    assert first.job_cache.team("team").shares.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
-    assert second.job_cache.team("team").shares is None
+    assert first.job_cache.team("team").zone_quotas.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
+    assert second.job_cache.team("team").zone_quotas is None
     assert allocation(second, "b", "vm-000001", 1) is not None  # by the shares, that it learns of by the conflict
-    assert second.job_cache.team("team").shares
+    assert second.job_cache.team("team").zone_quotas
 
 
 def test_several_jobs_go_into_one_transaction_and_share_their_teams_record(world):
     first, _ = stale_pair(world, a=spec(pieces=1), b=spec(pieces=1), c=spec(pieces=1))
 
     def make(job, usage):
-        if not first.settings.teams["team"].allows(usage.plus(job.spec, 1).cpus, 0.0):
+        if not first.settings.teams["team"].allows(usage.with_tasks_allocated(job.spec, 1).cpus, 0.0):
             return None
         return job.with_allocations([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
 
@@ -504,8 +506,8 @@
     box = leader.autoscaler.types["box"]
     scarce, plenty = Offer(box, "north", True), Offer(box, "north", False)
     monkeypatch.setattr(
-        "tidebend.controller.autoscaling.scale_out.to_rent",
-        lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)],
+        "tidebend.controller.autoscaling.scale_out.plan_provisioning",
+        lambda *args, **more: [ProvisionRequest(scarce, 5), ProvisionRequest(plenty, 1)],
     )
     asked = []
     scale_out.provisioner.provision = lambda term, offer, machines: asked.append(offer)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tidebend.autoscaling import Capacity, Offer, to_rent
+from tidebend.autoscaling import Capacity, Offer, plan_provisioning
 from tidebend.cluster_state.task_bitmap import from_text, lowest, to_text
 from tidebend.protocol import JobSpec, MachineType
 from tidebend.scheduling import (
@@ -235,5 +235,5 @@
     gang = TaskRequest(
         "g", spec(kind="gang", tasks=2, cpus=6.0, one_zone=one_zone), Value(1.0, 0.0, 1000.0, 2000.0), 10.0, 2
     )
-    rented = to_rent([gang], capacities, offers, 0.0, {})
-    assert {rental.offer.zone: rental.machines for rental in rented} == expected
+    rented = plan_provisioning([gang], capacities, offers, 0.0, {})
+    assert {rental.offer.zone: rental.count for rental in rented} == expected
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -23,7 +23,7 @@
 from tidebend.coordination.records import LEADER, NODE, SHARD, ZONE
 from tidebend.coordination.schema_version import FORMAT, READS
 from tidebend.kvclient import FINAL
-from tidebend.quota import QUOTA, TEAM, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
+from tidebend.quota import QUOTA_PREFIX, TEAM_PREFIX, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "stored_records.json").read_text())
 ZONES = ("north", "south", "west")
@@ -90,15 +90,15 @@
 
 
 def test_teams_and_quotas_are_written_back_as_they_were():
-    for name, value in recorded(TEAM):
+    for name, value in recorded(TEAM_PREFIX):
         index = UsageIndex()
-        index.on_change(TEAM + name, value, 7)
+        index.on_change(TEAM_PREFIX + name, value, 7)
         usage = index.team(name)
         assert usage.version == 7
         assert as_stored(usage.pack()) == value
         assert usage.charged == tuple(value)
         assert usage == TeamUsage(*value, 7, QuotaAmount(*value))
-    for _, value in recorded(QUOTA):
+    for _, value in recorded(QUOTA_PREFIX):
         quotas = ZoneQuotas.unpack(value, 7)
         assert quotas.version == 7
         assert as_stored(quotas.pack()) == value
@@ -176,7 +176,9 @@
     return [(row["put"], row["v"]) for row in Scenario(path).run().state.changes if "put" in row]
 
 
-@pytest.mark.parametrize("prefix", [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM, QUOTA, FINAL, JOB, HEAD, CHUNK])
+@pytest.mark.parametrize(
+    "prefix", [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM_PREFIX, QUOTA_PREFIX, FINAL, JOB, HEAD, CHUNK]
+)
 def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
     def forms(rows):
         return {(kind(key), json.dumps(shape(value), default=str)) for key, value in rows if key.startswith(prefix)}
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -33,7 +33,7 @@
     limit = controller.settings.teams["team"]
 
     def edit(job, usage):
-        if not limit.allows(usage.plus(job.spec, tasks.bit_count()).cpus, 0.0):
+        if not limit.allows(usage.with_tasks_allocated(job.spec, tasks.bit_count()).cpus, 0.0):
             return None
         return job.with_allocations([Allocation("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
 
@@ -116,7 +116,7 @@
 def test_a_gang_that_needs_more_than_is_free_has_shares_given_back(world):
     first, _ = stale_pair(world, g=spec(shape="group", pieces=6, vcpus=1.0))
     quota_releaser, job = first.scheduling_loop.quota_releaser, first.job_cache.get("g")
-    shares = first.job_cache.team("team").shares
+    shares = first.job_cache.team("team").zone_quotas
     assert shares is not None
     value = {"north": [1.0, 0.0], "south": [2.0, 0.0]}  # five are free, and the gang takes six
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
--- a/tidebend/autoscaling/capacity.py
+++ b/tidebend/autoscaling/capacity.py
@@ -70,8 +70,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rental:
+class ProvisionRequest:
     """A number of machines to rent of one offer."""
 
     offer: Offer
-    machines: int
+    count: int
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -5,7 +5,7 @@
 import math
 from typing import NamedTuple
 
-from tidebend.autoscaling.capacity import Capacity, Offer, Rental
+from tidebend.autoscaling.capacity import Capacity, Offer, ProvisionRequest
 from tidebend.scheduling import Amount, TaskRequest, need_of, times_fit
 
 # estimates are often wrong by half: count on tasks that take that much longer
@@ -17,19 +17,23 @@
 LEAST_RUN_S = 0.1
 
 
-def to_rent(
-    requests: list[TaskRequest], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
-) -> list[Rental]:
+def plan_provisioning(
+    requests: list[TaskRequest],
+    capacities: list[Capacity],
+    offers: list[Offer],
+    now: float,
+    machines_by_zone: dict[str, int],
+) -> list[ProvisionRequest]:
     """Machines to rent for the requests, those that cost least for each task, in the order of first need.
 
-    `offers` leaves out what the cloud lately had none of; `now` is the time of day in seconds; `rank` spreads rentals
-    over the zones (fewest first): the machines that each zone has. Requests and capacities are changed: the tasks that
-    find room are counted in the requests' zones, and rented machines are added to the capacities.
+    `offers` leaves out what the cloud lately had none of; `now` is the time of day in seconds; `machines_by_zone`
+    spreads rentals over the zones (fewest first): the machines that each zone has. Requests and capacities are changed:
+    the tasks that find room are counted in the requests' zones, and rented machines are added to the capacities.
     """
-    plan = _RentalPlan(capacities, offers, now, rank)
+    plan = _RentalPlan(capacities, offers, now, machines_by_zone)
     for request in sorted(requests, key=_RequestRank.of):
         plan.serve(request)
-    return [Rental(offer, machines) for offer, machines in plan.machines.items()]
+    return [ProvisionRequest(offer, machines) for offer, machines in plan.machines.items()]
 
 
 class _RequestRank(NamedTuple):
@@ -79,12 +83,14 @@
 class _RentalPlan:
     """Promises existing capacity to requests one after the other, and rents for what is missing."""
 
-    def __init__(self, capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]) -> None:
+    def __init__(
+        self, capacities: list[Capacity], offers: list[Offer], now: float, machines_by_zone: dict[str, int]
+    ) -> None:
         self.machines: dict[Offer, int] = {}  # to rent
         self._capacities = capacities
         self._offers = offers
         self._now = now
-        self._rank = rank
+        self._machines_by_zone = machines_by_zone
 
     def serve(self, request: TaskRequest) -> None:
         """Find room for a request's tasks, on existing machines as far as these serve it in time."""
@@ -170,7 +176,7 @@
         missing = max(0, request.waiting - room)
         price = min((offer.price for offer in offers if offer.zone == zone), default=math.inf)
         impossible = missing > 0 and price == math.inf
-        return _ZoneRank(impossible, missing, price, self._rank.get(zone, 0), zone)
+        return _ZoneRank(impossible, missing, price, self._machines_by_zone.get(zone, 0), zone)
 
     def _rent(self, request: TaskRequest, offers: list[Offer], missing: int) -> None:
         """Rent machines until no task is missing or none can be had."""
@@ -194,7 +200,7 @@
             tasks = min(missing, times_fit(offer.whole, need), request.zone_room(offer.zone))
             if tasks < 1:
                 continue
-            machines = self._rank.get(offer.zone, 0) + self.machines.get(offer, 0)
+            machines = self._machines_by_zone.get(offer.zone, 0) + self.machines.get(offer, 0)
             rank = _OfferRank(offer.price / tasks, machines, offer.type.boot_s, offer.type.name, offer.zone)
             if best is None or rank < best.rank:
                 best = _BestOffer(rank, offer, tasks)
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -4,7 +4,7 @@
 
 import time
 
-from tidebend.autoscaling import Capacity, Offer, to_rent
+from tidebend.autoscaling import Capacity, Offer, plan_provisioning
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
@@ -76,11 +76,11 @@
         for capacity in capacities:
             per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + 1
         capacities.sort(key=lambda capacity: (capacity.ready_in, capacity.spot))
-        needed = to_rent(requests, capacities, offers, now=clock, rank=per_zone)
+        needed = plan_provisioning(requests, capacities, offers, now=clock, machines_by_zone=per_zone)
         # Few calls are available, and each of them that finds no capacity is one less: what failed least goes first,
         # so that offers without capacity don't delay those that have some.
         for rental in sorted(needed, key=lambda rental: self.provisioner.backoff.shortages(rental.offer)):
-            self.provisioner.provision(leadership.term, rental.offer, min(MAX_PER_REQUEST, rental.machines))
+            self.provisioner.provision(leadership.term, rental.offer, min(MAX_PER_REQUEST, rental.count))
 
     def _release_unusable(self, inventory: MachineInventory, view: FleetView, now: float) -> list[str]:
         """Release machines that failed to boot, or that should report by now; returns the latter."""
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -17,8 +17,8 @@
 from tidebend.protocol import Write
 from tidebend.quota import (
     EXHAUSTED,
-    QUOTA,
-    TEAM,
+    QUOTA_PREFIX,
+    TEAM_PREFIX,
     QuotaAmountLike,
     ZoneQuotas,
     fits_within,
@@ -82,7 +82,7 @@
         grown_zones = [zone for zone, (cpus, gpus) in added.items() if cpus > 0 or gpus > 0]
         if not grown_zones or limit is None:
             return QuotaChange()
-        conditions = {QUOTA + team: quotas.version}
+        conditions = {QUOTA_PREFIX + team: quotas.version}
         by_zone = _unpack_written(already_written) if already_written else dict(quotas.zones)
         needs = {}
         for zone in {*grown_zones, *held_zones}:
@@ -95,7 +95,7 @@
         if sufficient is by_zone:
             return QuotaChange(conditions)
         conditions.update(dict(held_zones.values()))
-        return QuotaChange(conditions, [(QUOTA + team, ZoneQuotas(0, sufficient).pack(), None)])
+        return QuotaChange(conditions, [(QUOTA_PREFIX + team, ZoneQuotas(0, sufficient).pack(), None)])
 
     def mark_uncertain(self, teams: set[str]) -> None:
         """Note that writes of these teams' allocations or quotas got no answer, and may still be executed."""
@@ -112,12 +112,14 @@
             return
         uncertain = dict(self._uncertain_teams)
         for team in sorted(uncertain):
-            quotas = self.job_cache.team(team).shares
+            quotas = self.job_cache.team(team).zone_quotas
             if quotas:
                 # a conflict means that the quotas have been written since, which serves as well
                 with contextlib.suppress(ConflictError):
                     self.cache.write(
-                        {QUOTA + team: quotas.version}, [(QUOTA + team, quotas.pack(), None)], patience=patience
+                        {QUOTA_PREFIX + team: quotas.version},
+                        [(QUOTA_PREFIX + team, quotas.pack(), None)],
+                        patience=patience,
                     )
         if not self.cache.barrier(self.cache.state.timeout, "claim"):
             raise NotExecutedError("no read after a claim without an answer")
@@ -143,8 +145,15 @@
                 usage = self.job_cache.team(team.name)
                 used = self._used_by_zone(team.name)
             self.cache.write(
-                {TEAM + team.name: usage.version, QUOTA + team.name: 0, FORMAT: self.cache.get(FORMAT)[1]},
-                [(TEAM + team.name, EXHAUSTED, None), (QUOTA + team.name, ZoneQuotas(0, used).pack(), None)],
+                {
+                    TEAM_PREFIX + team.name: usage.version,
+                    QUOTA_PREFIX + team.name: 0,
+                    FORMAT: self.cache.get(FORMAT)[1],
+                },
+                [
+                    (TEAM_PREFIX + team.name, EXHAUSTED, None),
+                    (QUOTA_PREFIX + team.name, ZoneQuotas(0, used).pack(), None),
+                ],
             )
             log.info("team %s has shares of its limit in each zone from now on", team.name)
 
@@ -154,7 +163,7 @@
         A team that had no limit before has quotas below its usage: other zones' usage would be counted too low.
         """
         with self.job_cache.lock:
-            quotas = self.job_cache.team(limit.name).shares
+            quotas = self.job_cache.team(limit.name).zone_quotas
             used = self._used_by_zone(limit.name)
         if quotas is None or all(
             fits_within(amounts, quotas.zones.get(zone, NOTHING), limit) for zone, amounts in used.items()
@@ -165,8 +174,8 @@
             for zone in quotas.zones.keys() | used.keys()
         }
         self.cache.write(
-            {QUOTA + limit.name: quotas.version},
-            [(QUOTA + limit.name, ZoneQuotas(0, sufficient).pack(), None)],
+            {QUOTA_PREFIX + limit.name: quotas.version},
+            [(QUOTA_PREFIX + limit.name, ZoneQuotas(0, sufficient).pack(), None)],
         )
         log.info("team %s uses more than its shares: they are raised to it", limit.name)
 
@@ -176,7 +185,7 @@
         Raises `ConflictError` and the other errors of `WatchCache.write`.
         """
         held_zones = self.held_zones()
-        quotas = self.job_cache.team(team).shares
+        quotas = self.job_cache.team(team).zone_quotas
         if quotas is None or team in self._uncertain_teams:
             return False
         lower = lower_shares(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
@@ -184,7 +193,8 @@
             return False
         try:
             self.cache.write(
-                {QUOTA + team: quotas.version, **dict(held_zones.values())}, [(QUOTA + team, lower.pack(), None)]
+                {QUOTA_PREFIX + team: quotas.version, **dict(held_zones.values())},
+                [(QUOTA_PREFIX + team, lower.pack(), None)],
             )
         except OutcomeUnknownError:
             # An allocation within the quota that we know doesn't write the quotas, so this write could be executed
--- a/tidebend/controller/quota/quota_release.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -56,7 +56,7 @@
             if limit is None or spec.team in short:
                 continue
             if spec.team not in totals:
-                quotas = self._job_cache.team(spec.team).shares
+                quotas = self._job_cache.team(spec.team).zone_quotas
                 totals[spec.team] = quotas.total() if quotas else None
             total = totals[spec.team]
             # a gang needs room for all its tasks: it would wait for ever beside an amount that one of them fits into
--- a/tidebend/controller/records/chunked_transactions.py
+++ b/tidebend/controller/records/chunked_transactions.py
@@ -66,7 +66,9 @@
             return None
         assert head.chunks is not None
         head = head.with_chunk_records(dict(head.chunks.rows))
-        return JobTransaction(head, conditions, writes, usage.plus(head.spec, head.charged - job.charged), size_bytes)
+        return JobTransaction(
+            head, conditions, writes, usage.with_tasks_allocated(head.spec, head.charged - job.charged), size_bytes
+        )
 
     def _chunks_to_write(self, job: Job, new: Job) -> list[int]:
         numbers = new.changed_chunks(job)
--- a/tidebend/controller/records/edit_batches.py
+++ b/tidebend/controller/records/edit_batches.py
@@ -13,7 +13,7 @@
 from tidebend.controller.records.record_limits import MAX_TRANSACTION_BYTES, RecordLimits
 from tidebend.controller.records.transaction_builder import TransactionBuilder
 from tidebend.protocol import Write
-from tidebend.quota import QUOTA, TEAM, QuotaAmountLike, TeamUsage
+from tidebend.quota import QUOTA_PREFIX, TEAM_PREFIX, QuotaAmountLike, TeamUsage
 
 log = logging.getLogger("records")
 
@@ -155,25 +155,25 @@
             _added_by_zone(job, transaction.job),
             changes_team_usage=False,
         )
-        if usage.shares:
+        if usage.zone_quotas:
             return prepared if self._add_quota_change(prepared, usage, batch, held_zones) else None
         if transaction.usage.charged != usage.charged:
             prepared.changes_team_usage = True
-            prepared.conditions[TEAM + team] = usage.version
-            prepared.writes.append(put(TEAM + team, transaction.usage.pack()))
+            prepared.conditions[TEAM_PREFIX + team] = usage.version
+            prepared.writes.append(put(TEAM_PREFIX + team, transaction.usage.pack()))
         return prepared
 
     def _add_quota_change(
         self, prepared: PreparedEdit, usage: TeamUsage, batch: EditBatch, held_zones: HeldZones
     ) -> bool:
         """Add what keeps the team's zone quotas; False if they have no room for the edit's allocations."""
-        assert usage.shares is not None
+        assert usage.zone_quotas is not None
         prepared.changes_team_usage = True
         quota_change = self._quota_rebalancer.change_for_allocation(
             prepared.team,
-            usage.shares,
+            usage.zone_quotas,
             already_added=batch.added,
-            already_written=batch.writes.get(QUOTA + prepared.team),
+            already_written=batch.writes.get(QUOTA_PREFIX + prepared.team),
             added=prepared.added,
             held_zones=held_zones,
         )
--- a/tidebend/controller/records/transaction_builder.py
+++ b/tidebend/controller/records/transaction_builder.py
@@ -47,6 +47,6 @@
             new,
             {job.key: job.version},
             [put(new.key, value)],
-            usage.plus(new.spec, new.charged - job.charged),
+            usage.with_tasks_allocated(new.spec, new.charged - job.charged),
             size_bytes,
         )
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -109,7 +109,7 @@
             usage = usages.get(team) or self.job_writer.job_cache.team(team, held)
             if name in self.completions.unrecorded:  # these go with the claim anyway
                 usage = usage.minus(self.completions.unrecorded[name].amounts(job.spec))
-            usages[team] = usage.plus(job.spec, sum(placement.tasks for placement in group))
+            usages[team] = usage.with_tasks_allocated(job.spec, sum(placement.tasks for placement in group))
         return usages
 
     def _with_claims(
@@ -170,7 +170,7 @@
             if attempt <= job.started and any((job.id, index, attempt) in machine.tasks for index in members(tasks)):
                 return []
             count = tasks.bit_count()
-            usage = usage.plus(spec, count)
+            usage = usage.with_tasks_allocated(spec, count)
             if team is not None and not team.allows(usage.cpus, usage.gpus):
                 break
             request.add_to_zone(machine.zone, count)
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -239,7 +239,7 @@
                 continue
             order = shard_order(job.id, shards)
             numbers = [order.index(shard) for shard in shards if shard in ours]
-            our_share = partial(share_of_tasks, numbers=numbers, of=len(shards))
+            our_share = partial(share_of_tasks, shard_positions=numbers, shard_count=len(shards))
             request = self.pending_jobs.relocation_request(job, lost, our_share, now, clock)
             if request is not None:
                 requests.append(request)
--- a/tidebend/quota/records.py
+++ b/tidebend/quota/records.py
@@ -8,11 +8,11 @@
 from tidebend.kvclient import LIVE
 
 # key prefix of what a team's live jobs were ever allocated, in the first format version
-TEAM = LIVE + "team/"
+TEAM_PREFIX = LIVE + "team/"
 # the value there of a team with quota shares: it leaves no room for allocations by controllers of that version
 EXHAUSTED = [1e15, 1e15]
 # key prefix of a team's limit divided into quota shares of zones
-QUOTA = LIVE + "quota/"
+QUOTA_PREFIX = LIVE + "quota/"
 
 
 class QuotaAmount(NamedTuple):
--- a/tidebend/quota/team_usage.py
+++ b/tidebend/quota/team_usage.py
@@ -19,16 +19,16 @@
     knows of too few ended tasks and so overestimates the usage; the record itself is compared by each transaction that
     allocates.
 
-    With quota shares the shares of other zones count as used, and the record under `TEAM` isn't written.
+    With quota shares the shares of other zones count as used, and the record under `TEAM_PREFIX` isn't written.
     """
 
     cpus: float = 0.0
     gpus: float = 0.0
-    version: int = 0  # of the record under `TEAM`, or of that under `QUOTA` if there are shares
-    charged: QuotaAmount = NOTHING  # the amount in the record under `TEAM`
-    shares: ZoneQuotas | None = None
+    version: int = 0  # of the record under `TEAM_PREFIX`, or of that under `QUOTA_PREFIX` if there are shares
+    charged: QuotaAmount = NOTHING  # the amount in the record under `TEAM_PREFIX`
+    zone_quotas: ZoneQuotas | None = None
 
-    def plus(self, spec: JobSpec, tasks: int) -> TeamUsage:
+    def with_tasks_allocated(self, spec: JobSpec, tasks: int) -> TeamUsage:
         """Return the usage with more tasks allocated, which are charged to the record."""
         cpus, gpus = spec.cpus * tasks, spec.gpus * tasks
         return replace(
@@ -52,5 +52,5 @@
         return replace(self, charged=QuotaAmount(amount(self.charged[0] - cpus), amount(self.charged[1] - gpus)))
 
     def pack(self) -> list[float]:
-        """Return the record under `TEAM`."""
+        """Return the record under `TEAM_PREFIX`."""
         return list(self.charged)
--- a/tidebend/quota/usage_index.py
+++ b/tidebend/quota/usage_index.py
@@ -6,13 +6,13 @@
 from typing import Any, NamedTuple
 
 from tidebend.protocol import JobSpec
-from tidebend.quota.records import NOTHING, QUOTA, TEAM, QuotaAmount, amount
+from tidebend.quota.records import NOTHING, QUOTA_PREFIX, TEAM_PREFIX, QuotaAmount, amount
 from tidebend.quota.team_usage import TeamUsage
 from tidebend.quota.zone_quotas import ZoneQuotas
 
 
 class _ChargedRecord(NamedTuple):
-    """A team's record under `TEAM`."""
+    """A team's record under `TEAM_PREFIX`."""
 
     amount: QuotaAmount
     version: int
@@ -30,10 +30,10 @@
 
     def on_change(self, key: str, value: Any, version: int) -> None:
         """Apply a team's record, or its removal if `value` is None; other keys are ignored."""
-        if key.startswith(TEAM):
-            self._change_charged(key[len(TEAM) :], value, version)
-        elif key.startswith(QUOTA):
-            self._change_shares(key[len(QUOTA) :], value, version)
+        if key.startswith(TEAM_PREFIX):
+            self._change_charged(key[len(TEAM_PREFIX) :], value, version)
+        elif key.startswith(QUOTA_PREFIX):
+            self._change_shares(key[len(QUOTA_PREFIX) :], value, version)
 
     def _change_charged(self, team: str, value: list[float] | None, version: int) -> None:
         if value is None:
@@ -78,7 +78,7 @@
                 cpus=amount(elsewhere.cpus + here.cpus),
                 gpus=amount(elsewhere.gpus + here.gpus),
                 version=shares.version,
-                shares=shares,
+                zone_quotas=shares,
             )
         charged, version = self._charged.get(name, _ChargedRecord(NOTHING, 0))
         ended = self._ended.get(name, NOTHING)
--- a/tidebend/quota/zone_quotas.py
+++ b/tidebend/quota/zone_quotas.py
@@ -32,7 +32,7 @@
         return total_of([row for zone, row in self.zones.items() if zone not in but])
 
     def pack(self) -> dict[str, list[float]]:
-        """Return the record under `QUOTA`."""
+        """Return the record under `QUOTA_PREFIX`."""
         return {zone: [amount(row[0]), amount(row[1])] for zone, row in self.zones.items()}
 
     @staticmethod
--- a/tidebend/zone_failover/relocation.py
+++ b/tidebend/zone_failover/relocation.py
@@ -16,9 +16,9 @@
     return replace(job, allocations=left)
 
 
-def share_of_tasks(tasks: int, numbers: Iterable[int], of: int) -> int:
-    """Return how many of a job's tasks the holders with some numbers, out of `of`, find room for.
+def share_of_tasks(tasks: int, shard_positions: Iterable[int], shard_count: int) -> int:
+    """Return how many of a job's tasks the shards at some positions in the order of all shards find room for.
 
-    Each task falls to exactly one holder, and the shares of two holders differ by one task at the most.
+    Each task falls to exactly one shard, and the shares of two shards differ by one task at the most.
     """
-    return sum(tasks // of + (number < tasks % of) for number in numbers)
+    return sum(tasks // shard_count + (position < tasks % shard_count) for position in shard_positions)
