--- a/simulation/play.py
+++ b/simulation/play.py
@@ -12,10 +12,10 @@
 from simulation.report import Sampler, report
 from simulation.versions import Version, current
 from simulation.world import TICK, World
-from tidebend.protocol import RANKS, SHAPES
+from tidebend.protocol import KIND_BY_WIRE_NAME, PRIORITY_BY_WIRE_NAME
 
-_SHAPES = {ours: theirs for theirs, ours in SHAPES.items()}
-_RANKS = {ours: theirs for theirs, ours in RANKS.items()}
+_SHAPES = {ours: theirs for theirs, ours in KIND_BY_WIRE_NAME.items()}
+_RANKS = {ours: theirs for theirs, ours in PRIORITY_BY_WIRE_NAME.items()}
 
 
 def _arrivals(experiment: Experiment, chance: random.Random) -> list[tuple[float, str, dict]]:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,7 +17,7 @@
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog, WriteAheadLogError
 from tidebend.messages import Bounds, Description, GangVerdict, Joined
 from tidebend.protocol import Command
-from tidebend.protocol.worker import Answer, Direct
+from tidebend.protocol.worker import DirectCommands, ReportAnswer
 
 JOB = "req-1"
 TERMS = Joined("vm-1", "here", 0.2, 60.0, 1.0, 1.0, 4.0, 0.0, 4.0, {"control": "127.0.0.1:1"})
@@ -53,11 +53,11 @@
     def answer(self, *commands, token=1, session=None, sent=None):
         session = self.session if session is None else session
         sent = time.clock_gettime(time.CLOCK_BOOTTIME) if sent is None else sent
-        return self.worker.call(lambda: self.worker.apply_answer(Answer(token, list(commands)), session, sent))
+        return self.worker.call(lambda: self.worker.apply_answer(ReportAnswer(token, list(commands)), session, sent))
 
     def direct(self, *commands, token=1, session=None):
         session = self.session if session is None else session
-        return self.worker.call(lambda: self.worker.execute_direct(Direct(token, session, list(commands))))
+        return self.worker.call(lambda: self.worker.execute_direct(DirectCommands(token, session, list(commands))))
 
     def start(self, *indexes, job=JOB, attempt=1, **more):
         self.answer(*(Command("start", job, index, attempt) for index in indexes), **more)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -324,9 +324,9 @@
     settings = control_settings(tmp_path, connections)
     assert settings.connections == connections
     inner = settings.controller(1, "127.0.0.1")
-    assert connection_limits.incoming(inner) >= 0.8 * connections  # bounded by the sockets only
-    assert connection_limits.threads(inner) > 1000
-    assert connection_limits.threads(inner) + connection_limits.asking(inner) <= 1900
+    assert connection_limits.max_incoming_connections(inner) >= 0.8 * connections  # bounded by the sockets only
+    assert connection_limits.connection_threads(inner) > 1000
+    assert connection_limits.connection_threads(inner) + connection_limits.unresponsive_threads(inner) <= 1900
 
 
 def test_a_server_of_the_control_service_is_given_its_threads(tmp_path, monkeypatch, caplog):
@@ -335,13 +335,15 @@
     control = Control(settings, tmp_path / "data")
     try:
         inner = settings.controller(1, "127.0.0.1")
-        threads = connection_limits.threads(inner) + connection_limits.asking(inner)
+        threads = connection_limits.connection_threads(inner) + connection_limits.unresponsive_threads(inner)
         assert control.gate.max_connections == 4500
         assert control.gate.request_queue_size == 4500 // 16
         assert "may open 1024 files" in caplog.text
         assert control.gate._idle is not None
         assert (
-            control.gate._threads._max_threads + (threads - connection_limits.threads(inner)) + SIDES * SIDE_THREADS
+            control.gate._threads._max_threads
+            + (threads - connection_limits.connection_threads(inner))
+            + SIDES * SIDE_THREADS
             <= 1900
         )
     finally:
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -152,16 +152,16 @@
 def test_sockets_are_shared_out_by_the_settings(world, most):
     settings = replace(world.controllers["n0"].settings, max_sockets=most)
     ours = (
-        connection_limits.kept(settings)
-        + connection_limits.asking(settings)
-        + connection_limits.backlog(settings)
+        connection_limits.max_idle_worker_connections(settings)
+        + connection_limits.unresponsive_threads(settings)
+        + connection_limits.listen_backlog(settings)
         + 4 * len(settings.peers)
     )
-    assert connection_limits.threads(settings) + connection_limits.asking(settings) <= 2000
-    assert connection_limits.threads(settings) > 1600  # however many sockets there are
-    assert connection_limits.incoming(settings) >= most // 2
+    assert connection_limits.connection_threads(settings) + connection_limits.unresponsive_threads(settings) <= 2000
+    assert connection_limits.connection_threads(settings) > 1600  # however many sockets there are
+    assert connection_limits.max_incoming_connections(settings) >= most // 2
     if most >= 600:
-        assert connection_limits.incoming(settings) + ours < most
+        assert connection_limits.max_incoming_connections(settings) + ours < most
 
 
 def test_direct_commands_keep_no_more_connections_than_their_share(world):
@@ -186,7 +186,7 @@
     assert command_dispatcher._unresponsive.qsize() == 500  # none is left out
     while command_dispatcher.send_next():
         pass
-    kept = connection_limits.kept(world.controllers["n0"].settings)
+    kept = connection_limits.max_idle_worker_connections(world.controllers["n0"].settings)
     assert len(command_dispatcher._clients) == kept
     assert len(closed) == 500 - kept
 
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -9,7 +9,7 @@
 from tidebend.agent.processes import MARK, boot_id, look
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog
 from tidebend.kvstore import Engine
-from tidebend.protocol import rent
+from tidebend.protocol import rental_request
 from tidebend.provider import AgentProcesses, JoinRefusedError, Kind, MachineGoneError, Provider
 from tidebend.transport import UnreachableError
 
@@ -66,16 +66,19 @@
 
 def test_a_charter_rents_once_and_no_more_than_there_may_be(engine):
     one = provider(engine)
-    first = one.request("POST", "/machines", rent("c-1", "some", "here", False, 2))
+    first = one.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2))
     assert first == (200, {"fleet": ["vm-000001", "vm-000002"]})
-    assert one.request("POST", "/machines", rent("c-1", "some", "here", False, 2)) == first
-    assert one.request("POST", "/machines", rent("c-2", "some", "here", False, 5)) == (200, {"fleet": ["vm-000003"]})
-    for again in (rent("c-3", "some", "here", False, 1), rent("c-4", "kept", "here", True, 1)):
+    assert one.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2)) == first
+    assert one.request("POST", "/machines", rental_request("c-2", "some", "here", False, 5)) == (
+        200,
+        {"fleet": ["vm-000003"]},
+    )
+    for again in (rental_request("c-3", "some", "here", False, 1), rental_request("c-4", "kept", "here", True, 1)):
         assert one.request("POST", "/machines", again) == (503, {"error": "no capacity"})
-    assert one.request("POST", "/machines", rent("c-5", "none", "here", False, 1))[0] == 400
+    assert one.request("POST", "/machines", rental_request("c-5", "none", "here", False, 1))[0] == 400
     # a restart knows both
     again = provider(engine)
-    assert again.request("POST", "/machines", rent("c-1", "some", "here", False, 2)) == first
+    assert again.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2)) == first
     assert set(listed(again)) == {"vm-000001", "vm-000002", "vm-000003"}
 
 
--- a/tidebend/agent/control_connection.py
+++ b/tidebend/agent/control_connection.py
@@ -13,7 +13,7 @@
 from tidebend.access import KeyedClient, Keyring, Tls, parse_address
 from tidebend.agent.worker import Worker
 from tidebend.messages import Description, GangMemberStatus, GangVerdict, Joined, Joining, paths
-from tidebend.protocol.worker import ELSEWHERE, PATH_REPORT, elsewhere, parse_answer
+from tidebend.protocol.worker import PATH_REPORT, STATUS_MISDIRECTED, parse_redirect, parse_report_answer
 from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("agent")
@@ -114,8 +114,8 @@
             return False
         if time.monotonic() - began > ANSWER_S:
             return False
-        if status == ELSEWHERE:
-            other = elsewhere(answer)
+        if status == STATUS_MISDIRECTED:
+            other = parse_redirect(answer)
             if other is None or other == name or other not in self._clients:
                 return False
             self._names = [other, *(rest for rest in self._names if rest != other)]
@@ -124,7 +124,7 @@
             log.info("report: answered with %s", status)
             return False
         self.heard = time.monotonic()
-        parsed = parse_answer(answer)
+        parsed = parse_report_answer(answer)
         if not worker.call(lambda: worker.apply_answer(parsed, session, sent)):
             log.info("an answer was dropped: its token or session is an old one")
         return True
--- a/tidebend/agent/endpoints.py
+++ b/tidebend/agent/endpoints.py
@@ -11,7 +11,7 @@
 from tidebend.agent import output
 from tidebend.agent.worker import StaleCommandError, Worker
 from tidebend.messages import paths
-from tidebend.protocol.worker import PATH_DIRECT, PATH_SHOW, parse_direct
+from tidebend.protocol.worker import PATH_DIRECT, PATH_WORKER_STATUS, parse_direct_commands
 from tidebend.transport import Reply
 
 MOST_OUTPUT = 1024 * 1024
@@ -25,7 +25,7 @@
         try:
             if path == PATH_DIRECT and method == "POST":
                 return _direct(worker, body())
-            if path == PATH_SHOW and method == "GET":
+            if path == PATH_WORKER_STATUS and method == "GET":
                 return Reply(200, worker.call(worker.report)[0])
             if path.startswith(paths.AGENT_OUTPUT + "/") and method == "GET":
                 return _output(worker, path[len(paths.AGENT_OUTPUT) + 1 :], query)
@@ -40,7 +40,7 @@
 
 def _direct(worker: Worker, raw: bytes) -> Reply:
     try:
-        asked = parse_direct(msgspec.json.decode(raw))
+        asked = parse_direct_commands(msgspec.json.decode(raw))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         return Reply(400, {"error": str(error)})
 
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -33,7 +33,7 @@
 from tidebend.faults import point
 from tidebend.messages import Description, GangPhase, GangVerdict, Joined
 from tidebend.protocol import Command
-from tidebend.protocol.worker import Answer, Direct, report
+from tidebend.protocol.worker import DirectCommands, ReportAnswer, report
 
 log = logging.getLogger("agent")
 
@@ -250,7 +250,7 @@
             [task.row() for task in self._tasks.values()],
         )
 
-    def apply_answer(self, answer: Answer, session: int, sent_at: float) -> bool:
+    def apply_answer(self, answer: ReportAnswer, session: int, sent_at: float) -> bool:
         """Take over the answer to a report; False if it had to be dropped."""
         if session != self.session or answer.token is None or answer.token < self.token:
             return False
@@ -259,7 +259,7 @@
         self._execute(answer.commands)
         return True
 
-    def execute_direct(self, direct: Direct) -> dict[str, Any]:
+    def execute_direct(self, direct: DirectCommands) -> dict[str, Any]:
         """Execute direct commands, which don't renew the lease; the body of the answer. Raises StaleCommandError."""
         if direct.token < self.token or direct.session != self.session:
             raise StaleCommandError
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -87,7 +87,9 @@
     def submit(self, ready: Ready) -> str:
         """Describe and submit; repeating it is harmless, since the id stays. The job's state."""
         self.call("POST", f"{paths.DESCRIPTIONS}/{ready.job}", msgspec.to_builtins(ready.description))
-        return words.state(self.call("POST", words.PATH_JOBS, words.job(ready.job, ready.spec, ready.awaits)))
+        return words.job_state(
+            self.call("POST", words.PATH_JOBS, words.job_request(ready.job, ready.spec, ready.awaits))
+        )
 
     def job(self, job: str) -> dict[str, Any]:
         """Return what is known of a job."""
@@ -106,7 +108,7 @@
 
     def cancel(self, job: str) -> str:
         """Cancel a job, and return its state."""
-        return words.state(self.call("POST", f"{words.PATH_JOBS}/{job}/cancel", {}))
+        return words.job_state(self.call("POST", f"{words.PATH_JOBS}/{job}/cancel", {}))
 
     def output(self, job: str, index: int, most: int) -> dict[str, Any]:
         """Return the last bytes that a task has written, and by which attempt."""
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -313,12 +313,12 @@
         while True:
             jobs = [desk.job(name) for name in names]
             progress(jobs)
-            if all(words.ended(job["state"]) for job in jobs) or time.monotonic() > deadline:
+            if all(words.is_final_state(job["state"]) for job in jobs) or time.monotonic() > deadline:
                 break
             time.sleep(min(pause, max(0.0, deadline - time.monotonic())))
             pause = min(1.0, 1.3 * pause)
     _print(arguments, jobs, rendering.jobs)
-    if not all(words.ended(job["state"]) for job in jobs):
+    if not all(words.is_final_state(job["state"]) for job in jobs):
         return TIME_UP
     return FINE if all(job["state"] == "done" for job in jobs) else FAILED
 
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -160,7 +160,7 @@
 
     @staticmethod
     def _row(job: str, body: dict[str, Any], description: dict[str, Any]) -> dict[str, Any]:
-        state = users_words.state(body)
+        state = users_words.job_state(body)
         tasks = description.get("tasks", 1)
         return {
             "job": job,
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -72,7 +72,7 @@
         at = self._place()
         # the shares of threads follow from the settings alone, wherever we are going to listen
         shares = settings.controller(at[1], at[0])
-        threads = connection_limits.threads(shares) - SIDES * SIDE_THREADS
+        threads = connection_limits.connection_threads(shares) - SIDES * SIDE_THREADS
         _warn_of_few_files(settings.connections)
         self.gate = self._gate(at, lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}), threads)
         self.address = f"{self.gate.host}:{self.gate.port}"
@@ -179,7 +179,7 @@
 
     def start(self) -> None:
         """Begin to serve."""
-        self.controller.begin()
+        self.controller.start_threads()
         self.gate.route = self._route
         for gate in self.gates:
             threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 1.0}, name="door", daemon=True).start()
--- a/tidebend/controller/autoscaling/machine_inventory.py
+++ b/tidebend/controller/autoscaling/machine_inventory.py
@@ -69,7 +69,7 @@
         response = self._call("GET", protocol.list_path(self._last_name, PAGE_SIZE), None, reserve)
         if response is None or not response.ok:
             return False
-        rows, has_more = protocol.parse_listed(response.body)
+        rows, has_more = protocol.parse_machine_page(response.body)
         if not self._pages_read:
             self._began_at = now
         self._pages_read += 1
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -64,7 +64,7 @@
         Allocations on confirmed machines are cleared at once, or by `retry_clearing` if that can't be written. Raises
         InvalidMessageError for a response that can't be read.
         """
-        response = self._cloud.call("POST", protocol.PATH_RELEASE, protocol.release(names))
+        response = self._cloud.call("POST", protocol.PATH_RELEASE, protocol.release_request(names))
         confirmed = self._confirmed(names, response)
         if not confirmed:
             return False
--- a/tidebend/controller/autoscaling/provisioner.py
+++ b/tidebend/controller/autoscaling/provisioner.py
@@ -68,7 +68,7 @@
         self._request_count += 1
         request_name = f"tidebend-{term}-{self._request_count}"
         now = time.monotonic()
-        body = protocol.rent(request_name, offer.type.name, offer.zone, offer.spot, count)
+        body = protocol.rental_request(request_name, offer.type.name, offer.zone, offer.spot, count)
         response = self._cloud.call("POST", protocol.PATH_RENT, body)
         if response is None:
             return
--- a/tidebend/controller/connection_limits.py
+++ b/tidebend/controller/connection_limits.py
@@ -18,27 +18,33 @@
 OWN = 24
 
 
-def kept(settings: Settings) -> int:
+def max_idle_worker_connections(settings: Settings) -> int:
     """Idle connections to workers, for direct commands."""
     return max(4, int(KEPT_SHARE * settings.max_sockets))
 
 
-def asking(settings: Settings) -> int:
+def unresponsive_threads(settings: Settings) -> int:
     """Threads that ask silent machines; each takes a full time-out for one."""
     return min(MOST_ASKING, max(5, int(ASKING_SHARE * settings.max_sockets)))
 
 
-def backlog(settings: Settings) -> int:
+def listen_backlog(settings: Settings) -> int:
     """Connections that wait to be taken."""
     return max(8, int(BACKLOG_SHARE * settings.max_sockets))
 
 
-def incoming(settings: Settings) -> int:
+def max_incoming_connections(settings: Settings) -> int:
     """Connections of users and workers at a time: what our own, to peers and by peers leave."""
-    own = OWN + 4 * len(settings.peers) + kept(settings) + asking(settings) + backlog(settings)
+    own = (
+        OWN
+        + 4 * len(settings.peers)
+        + max_idle_worker_connections(settings)
+        + unresponsive_threads(settings)
+        + listen_backlog(settings)
+    )
     return max(settings.max_sockets // 2, settings.max_sockets - own)
 
 
-def threads(settings: Settings) -> int:
+def connection_threads(settings: Settings) -> int:
     """Threads for the connections of users and workers, of which there may be more: idle ones do without."""
-    return MOST_THREADS - asking(settings)
+    return MOST_THREADS - unresponsive_threads(settings)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -228,7 +228,7 @@
         """Whether requests should be sent here."""
         return self.readiness.is_ready()
 
-    def begin(self) -> None:
+    def start_threads(self) -> None:
         """Start all threads; requests reach the controller by `route`, from whichever server."""
         self.cache.start()
         self.coordinator.start()
@@ -247,11 +247,11 @@
             self.route,
             idle_timeout_s=IDLE_LEASES * self.settings.lease_s,
             body_timeout_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
-            max_connections=connection_limits.incoming(self.settings),
-            backlog=connection_limits.backlog(self.settings),
-            max_threads=connection_limits.threads(self.settings),
+            max_connections=connection_limits.max_incoming_connections(self.settings),
+            backlog=connection_limits.listen_backlog(self.settings),
+            max_threads=connection_limits.connection_threads(self.settings),
         )
-        self.begin()
+        self.start_threads()
         return server
 
 
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -88,7 +88,7 @@
 
     def start(self) -> None:
         """Start the threads of both queues."""
-        for number in range(RESPONSIVE_THREADS + connection_limits.asking(self._settings)):
+        for number in range(RESPONSIVE_THREADS + connection_limits.unresponsive_threads(self._settings)):
             targets = self._responsive if number < RESPONSIVE_THREADS else self._unresponsive
             start_daemon(f"dispatch-{number}", self._run, targets)
 
@@ -157,7 +157,7 @@
             if client is None:
                 client = self._clients[target.address] = self._connect(target.address, max_idle=1)
             self._clients.move_to_end(target.address)
-            has_too_many = len(self._clients) > connection_limits.kept(self._settings)
+            has_too_many = len(self._clients) > connection_limits.max_idle_worker_connections(self._settings)
             oldest = self._clients.popitem(last=False)[1] if has_too_many else None
         if oldest is not None:
             oldest.close()
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -114,7 +114,7 @@
         holder = self._coordinator.holder(shard)
         if holder is None or holder == self._settings.name:
             return unavailable_reply("no holder")
-        return Reply(421, protocol.report_elsewhere(holder))
+        return Reply(421, protocol.redirect_answer(holder))
 
     def _accept(self, report: Report, grant: ShardGrant) -> Reply:
         """Take in a report of a shard that we hold, and answer it.
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -199,7 +199,7 @@
     def _send(self, probe: _Probe) -> None:
         has_answered = False
         try:
-            self._connect(probe.address, max_idle=0).request("GET", protocol.PATH_SHOW, None, self._timeout_s)
+            self._connect(probe.address, max_idle=0).request("GET", protocol.PATH_WORKER_STATUS, None, self._timeout_s)
             has_answered = True
         except (UnreachableError, NoAnswerError) as error:
             log.debug("%s:%d: %s", *probe.address, error)
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -94,7 +94,7 @@
             return 409, wire.conflict(failed.revision, failed.keys)
         except LeaseEndedError:
             return 400, wire.error(NO_SUCH_LEASE)
-        return 200, wire.revision_of(revision)
+        return 200, wire.revision_answer(revision)
 
     def _check_counts(self, request: wire.Transaction) -> None:
         most_writes = self.limits.txn_ops
@@ -119,7 +119,7 @@
         _check_key(key)
         item, revision = self.engine.get(key)
         if item is None:
-            return 404, wire.revision_of(revision)
+            return 404, wire.revision_answer(revision)
         return 200, _item_row(item)
 
     def _items(self, query: wire.ItemsQuery) -> Answer:
--- a/tidebend/protocol/cloud.py
+++ b/tidebend/protocol/cloud.py
@@ -17,16 +17,16 @@
     "PATH_TYPES",
     "Release",
     "Rental",
-    "listed",
-    "listing",
-    "machine_type",
-    "names",
-    "types",
+    "machine_page",
+    "machine_row",
+    "machines_answer",
+    "type_row",
+    "types_answer",
 ]
 
 
 class Rental(msgspec.Struct, frozen=True):
-    """A request for machines, as `machines.rent` builds it."""
+    """A request for machines, as `machines.rental_request` builds it."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=200)] = msgspec.field(name="charter")  # idempotency key
     kind: str = msgspec.field(name="hull")  # name of the machines' type
@@ -41,15 +41,15 @@
     machines: Annotated[list[str], msgspec.Meta(max_length=100)] = msgspec.field(name="fleet")
 
 
-def names(machines: list[str]) -> dict[str, Any]:
+def machines_answer(machines: list[str]) -> dict[str, Any]:
     """The answer to a rental or a release: the machines that it concerns."""
     return {"fleet": machines}
 
 
-def machine_type(
+def type_row(
     name: str, cpus: float, gpus: float, memory_gb: float, disk_gb: float, price: float, boot_s: float, zones: list[str]
 ) -> dict[str, Any]:
-    """A type of machine as `types` lists it. Spot machines cost the same; images are fetched at 1 GB a second."""
+    """A type of machine in `types_answer`. Spot machines cost the same; images are fetched at 1 GB a second."""
     return {
         "name": name,
         "vcpus": cpus,
@@ -64,13 +64,13 @@
     }
 
 
-def types(rows: list[dict[str, Any]]) -> dict[str, Any]:
+def types_answer(rows: list[dict[str, Any]]) -> dict[str, Any]:
     """The answer that lists the types of machines."""
     return {"hulls": rows}
 
 
-def listed(name: str, address: str | None, kind: str, zone: str, state: str, age_s: float) -> dict[str, Any]:
-    """A machine as `listing` lists it; `address` is `HOST:PORT`."""
+def machine_row(name: str, address: str | None, kind: str, zone: str, state: str, age_s: float) -> dict[str, Any]:
+    """A machine as `machine_page` lists it; `address` is `HOST:PORT`."""
     return {
         "id": name,
         "address": address,
@@ -82,6 +82,6 @@
     }
 
 
-def listing(rows: list[dict[str, Any]], more: bool) -> dict[str, Any]:
+def machine_page(rows: list[dict[str, Any]], more: bool) -> dict[str, Any]:
     """A page of the list of machines, and whether there are more after it."""
     return {"fleet": rows, "more": more}
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -46,7 +46,7 @@
 JOB_CANCELLED = "cancelled"
 
 # The most tasks that one job may have.
-MOST_TASKS = 100_000
+MAX_TASKS = 100_000
 
 # QuotaAmountLike are compared with this tolerance, so that rounding doesn't turn down a task that fits exactly.
 AMOUNT_TOLERANCE = 1e-6
@@ -62,7 +62,7 @@
     team: str  # whose quota is charged
     kind: str  # one of KIND_...
     priority: str  # one of PRIORITIES
-    tasks: int  # how many, 1 to MOST_TASKS
+    tasks: int  # how many, 1 to MAX_TASKS
     cpus: float  # cores for each task
     gpus: float  # accelerators for each task
     memory_gb: float  # for each task
--- a/tidebend/protocol/jobs.py
+++ b/tidebend/protocol/jobs.py
@@ -10,7 +10,7 @@
     KIND_ARRAY,
     KIND_GANG,
     KIND_SERVICE,
-    MOST_TASKS,
+    MAX_TASKS,
     PRIORITY_HIGH,
     PRIORITY_LOW,
     PRIORITY_NORMAL,
@@ -27,8 +27,8 @@
 )
 
 # The wire's words for kinds of jobs and priorities, and the domain's.
-SHAPES = {"sweep": KIND_ARRAY, "group": KIND_GANG, "service": KIND_SERVICE}
-RANKS = {
+KIND_BY_WIRE_NAME = {"sweep": KIND_ARRAY, "group": KIND_GANG, "service": KIND_SERVICE}
+PRIORITY_BY_WIRE_NAME = {
     "critical": PRIORITY_PRODUCTION,
     "urgent": PRIORITY_HIGH,
     "standard": PRIORITY_NORMAL,
@@ -37,7 +37,7 @@
 # The wire's words for states of a job, where they differ from the domain's.
 WIRE_JOB_STATES = {JOB_CANCELLED: "withdrawn"}
 
-ID = re.compile(r"req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
+JOB_ID_PATTERN = re.compile(r"req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
 PATH_JOBS = "/api/jobs"
 PATH_READY = "/ready"
 
@@ -48,7 +48,7 @@
 
 def is_job_id(name: str) -> bool:
     """Whether this has the form of a job's id."""
-    return bool(ID.match(name))
+    return bool(JOB_ID_PATTERN.match(name))
 
 
 def job_id(body: Any) -> str:
@@ -92,9 +92,9 @@
     return JobSpec(
         job_class=text_field(body, "tier"),
         team=text_field(body, "crew"),
-        kind=choice_field(body, "shape", SHAPES),
-        priority=choice_field(body, "rank", RANKS),
-        tasks=integer_field(body, "pieces", 1, MOST_TASKS),
+        kind=choice_field(body, "shape", KIND_BY_WIRE_NAME),
+        priority=choice_field(body, "rank", PRIORITY_BY_WIRE_NAME),
+        tasks=integer_field(body, "pieces", 1, MAX_TASKS),
         cpus=number_field(body, "vcpus"),
         gpus=number_field(body, "accelerators"),
         memory_gb=number_field(body, "memoryGb"),
--- a/tidebend/protocol/machines.py
+++ b/tidebend/protocol/machines.py
@@ -47,12 +47,12 @@
     return types
 
 
-def rent(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+def rental_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
     """The body that rents `count` machines. `name` makes it idempotent: once it has rented any, it rents no more."""
     return {"charter": name, "hull": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
 
 
-def release(names: list[str]) -> dict[str, Any]:
+def release_request(names: list[str]) -> dict[str, Any]:
     """The body that gives machines back."""
     return {"fleet": names}
 
@@ -90,6 +90,6 @@
     )
 
 
-def parse_listed(body: Any) -> tuple[list[ListedMachine], bool]:
+def parse_machine_page(body: Any) -> tuple[list[ListedMachine], bool]:
     """The machines of a page of the list, and whether there are more after it. Raises InvalidMessageError."""
     return [_listed_machine(row) for row in _rows(body)], body.get("more") is True
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -26,7 +26,7 @@
 
 MACHINE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
 PATH_REPORT = "/v1/report"
-PATH_SHOW = "/show"
+PATH_WORKER_STATUS = "/show"
 PATH_DIRECT = "/orders"
 
 # The domain's operations of a command, and the wire's words for them.
@@ -105,7 +105,7 @@
     return {"helm": token, "orders": [_command(command) for command in commands]}
 
 
-def report_elsewhere(controller: str | None) -> dict[str, Any]:
+def redirect_answer(controller: str | None) -> dict[str, Any]:
     """The answer to a report that belongs to another controller; None where that one isn't known."""
     return {"harbormaster": controller} if controller else {}
 
--- a/tidebend/protocol/store.py
+++ b/tidebend/protocol/store.py
@@ -35,7 +35,7 @@
     "lease",
     "parse_changes_query",
     "parse_items_query",
-    "revision_of",
+    "revision_answer",
 ]
 
 # What follows a lease's number in the path that extends it.
@@ -153,7 +153,7 @@
     return {"rows": rows, "more": more, "logline": revision}
 
 
-def revision_of(revision: int) -> dict[str, Any]:
+def revision_answer(revision: int) -> dict[str, Any]:
     """The answer to a transaction that was executed, or the revision at which an item isn't there."""
     return {"logline": revision}
 
--- a/tidebend/protocol/user.py
+++ b/tidebend/protocol/user.py
@@ -5,16 +5,16 @@
 from typing import Any
 
 from tidebend.protocol.domain import JOB_CANCELLED, JOB_DONE, JobSpec
-from tidebend.protocol.jobs import PATH_JOBS, RANKS, SHAPES, WIRE_JOB_STATES
+from tidebend.protocol.jobs import KIND_BY_WIRE_NAME, PATH_JOBS, PRIORITY_BY_WIRE_NAME, WIRE_JOB_STATES
 
-__all__ = ["PATH_JOBS", "ended", "job", "state"]
+__all__ = ["PATH_JOBS", "is_final_state", "job_request", "job_state"]
 
-_SHAPES = {ours: theirs for theirs, ours in SHAPES.items()}
-_RANKS = {ours: theirs for theirs, ours in RANKS.items()}
+_SHAPES = {ours: theirs for theirs, ours in KIND_BY_WIRE_NAME.items()}
+_RANKS = {ours: theirs for theirs, ours in PRIORITY_BY_WIRE_NAME.items()}
 _JOB_STATES = {theirs: ours for ours, theirs in WIRE_JOB_STATES.items()}
 
 
-def job(name: str, spec: JobSpec, awaits: tuple[str, ...] = ()) -> dict[str, Any]:
+def job_request(name: str, spec: JobSpec, awaits: tuple[str, ...] = ()) -> dict[str, Any]:
     """The body that submits a job."""
     body = {
         "id": name,
@@ -43,12 +43,12 @@
     return body
 
 
-def state(body: dict[str, Any]) -> str:
+def job_state(body: dict[str, Any]) -> str:
     """The job's state in an answer: queued, running, done or cancelled."""
     word = str(body.get("tide"))
     return _JOB_STATES.get(word, word)
 
 
-def ended(name: str) -> bool:
+def is_final_state(name: str) -> bool:
     """Whether a job in this state stays in it."""
     return name in (JOB_DONE, JOB_CANCELLED)
--- a/tidebend/protocol/worker.py
+++ b/tidebend/protocol/worker.py
@@ -10,22 +10,22 @@
 import msgspec
 
 from tidebend.protocol.domain import Command, task_name
-from tidebend.protocol.reports import PATH_DIRECT, PATH_REPORT, PATH_SHOW, WIRE_OPERATIONS
+from tidebend.protocol.reports import PATH_DIRECT, PATH_REPORT, PATH_WORKER_STATUS, WIRE_OPERATIONS
 
 # The status of an answer that names another controller.
-ELSEWHERE = 421
+STATUS_MISDIRECTED = 421
 
 __all__ = [
-    "ELSEWHERE",
     "PATH_DIRECT",
     "PATH_REPORT",
-    "PATH_SHOW",
-    "Answer",
-    "Direct",
+    "PATH_WORKER_STATUS",
+    "STATUS_MISDIRECTED",
+    "DirectCommands",
+    "ReportAnswer",
     "Task",
-    "elsewhere",
-    "parse_answer",
-    "parse_direct",
+    "parse_direct_commands",
+    "parse_redirect",
+    "parse_report_answer",
     "report",
 ]
 
@@ -63,14 +63,14 @@
     controller: str | None = msgspec.field(name="harbormaster", default=None)
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ReportAnswer(msgspec.Struct, frozen=True):
     """What a report is answered with; without a token it has to be dropped."""
 
     token: int | None  # the controller's fencing token
     commands: list[Command]
 
 
-class Direct(msgspec.Struct, frozen=True):
+class DirectCommands(msgspec.Struct, frozen=True):
     """Commands that a controller sends without waiting for a report."""
 
     token: int  # the controller's fencing token
@@ -98,19 +98,19 @@
         return row
 
 
-def parse_answer(body: Any) -> Answer:
+def parse_report_answer(body: Any) -> ReportAnswer:
     """The answer to a report. Raises msgspec.ValidationError, which names the field."""
     answer = msgspec.convert(body, _Answer, strict=False)
-    return Answer(answer.token, [order.command() for order in answer.orders])
+    return ReportAnswer(answer.token, [order.command() for order in answer.orders])
 
 
-def parse_direct(body: Any) -> Direct:
+def parse_direct_commands(body: Any) -> DirectCommands:
     """Direct commands. Raises msgspec.ValidationError, which names the field."""
     direct = msgspec.convert(body, _Direct, strict=False)
-    return Direct(direct.token, direct.session, [order.command() for order in direct.orders])
+    return DirectCommands(direct.token, direct.session, [order.command() for order in direct.orders])
 
 
-def elsewhere(body: Any) -> str | None:
+def parse_redirect(body: Any) -> str | None:
     """The controller that a 421 names, if it names one."""
     try:
         return msgspec.convert(body, _Elsewhere).controller
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -193,11 +193,9 @@
         path, _, query = path.partition("?")
         try:
             if path == wire.PATH_TYPES:
-                return 200, wire.types(
+                return 200, wire.types_answer(
                     [
-                        wire.machine_type(
-                            name, kind.cpus, kind.gpus, kind.memory_gb, 1000.0, kind.price, 1.0, [self._zone]
-                        )
+                        wire.type_row(name, kind.cpus, kind.gpus, kind.memory_gb, 1000.0, kind.price, 1.0, [self._zone])
                         for name, kind in self._kinds.items()
                     ]
                 )
@@ -217,14 +215,14 @@
         with self._step:
             charter, _ = self._engine.get(CHARTER + asked.name)
             if charter is not None:
-                return 200, wire.names(charter.value)
+                return 200, wire.machines_answer(charter.value)
             kind = self._kinds.get(asked.kind)
             if kind is None or asked.zone != self._zone:
                 return 400, {"error": "no such type or zone"}
             count = min(asked.count, kind.limit - self._here(asked.kind))
             if count < 1 or asked.spot:
                 return 503, {"error": "no capacity"}
-            return 200, wire.names(self._make(asked.kind, True, count, "", None, asked.name))
+            return 200, wire.machines_answer(self._make(asked.kind, True, count, "", None, asked.name))
 
     def _here(self, kind: str) -> int:
         return sum(1 for machine in self.machines().values() if machine.here and machine.kind == kind)
@@ -239,7 +237,7 @@
         for name, machine in machines[:most]:
             address = self._address_of(name)
             rows.append(
-                wire.listed(
+                wire.machine_row(
                     name,
                     f"{address[0]}:{address[1]}" if address else None,
                     machine.kind,
@@ -248,14 +246,14 @@
                     max(0.0, now - machine.made),
                 )
             )
-        return wire.listing(rows, len(machines) > most)
+        return wire.machine_page(rows, len(machines) > most)
 
     def _release(self, names: list[str]) -> tuple[int, Any]:
         gone = [name for name in names if self._certainly_gone(name)]
         if len(gone) == len(names):
             return 200, {}
         # more than the protocol's cloud says: it is always certain
-        return 409, {"error": "not proven gone: " + ", ".join(set(names) - set(gone)), **wire.names(gone)}
+        return 409, {"error": "not proven gone: " + ", ".join(set(names) - set(gone)), **wire.machines_answer(gone)}
 
     def _certainly_gone(self, name: str) -> bool:
         machine = self.machines().get(name)
