--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -114,7 +114,7 @@
     for tick in range(60):  # one becomes idle each second
         surplus = [Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")]
         autoscaler.scale_in.release(surplus, now + tick)
-    pause_s = settings.controllers / (scale_in.CALLS_SHARE * settings.cloud_rps)
+    pause_s = settings.controller_count / (scale_in.CALLS_SHARE * settings.cloud_rps)
     assert 0.5 * 60 / pause_s <= len(calls) <= 60 / pause_s + 1
     assert all(len(names) == 2 for names in calls)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,13 +44,13 @@
 
 def test_limits_to_come_fall_back_to_those_in_force_and_only_shrink():
     world = World(1, ["north"], [], [])
-    assert world.settings("n0").state_next == world.settings("n0").state_limits
+    assert world.settings("n0").next_store_limits == world.settings("n0").store_limits
     world.next_limits = {"value_kb": 2.0, "txn_ops": 99}
     settings = world.settings("n0")
     assert settings.name == "n0"
-    assert settings.late_aims == {"c": 1.5}
-    assert (settings.state_next.value_bytes, settings.state_next.txn_ops) == (2048, 12)
-    assert settings.state_next.write_rps == settings.state_limits.write_rps
+    assert settings.deadline_objectives == {"c": 1.5}
+    assert (settings.next_store_limits.value_bytes, settings.next_store_limits.txn_ops) == (2048, 12)
+    assert settings.next_store_limits.write_rps == settings.store_limits.write_rps
     world.next_limits = {"txn_ops": "few"}
     with pytest.raises(SettingsError, match=r"deployment.state.next.txn_ops must be a number"):
         world.settings("n0")
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -86,7 +86,7 @@
         return dict(calls)
 
     at_rest, starting = cost(0), cost(10)
-    limits = world.controllers["n0"].settings.state_limits
+    limits = world.controllers["n0"].settings.store_limits
     assert (starting["state"] - at_rest["state"]) / 10 <= 0.25 * limits.rps
     assert (starting["cloud"] - at_rest["cloud"]) / 10 <= 1.5
 
--- a/tidebend/controller/autoscaling/scale_in.py
+++ b/tidebend/controller/autoscaling/scale_in.py
@@ -35,7 +35,7 @@
         releaser: MachineReleaser,
     ) -> None:
         """`releaser` releases the machines that aren't worth keeping."""
-        self.interval_s = settings.controllers / (CALLS_SHARE * settings.cloud_rps)  # between releases, at least
+        self.interval_s = settings.controller_count / (CALLS_SHARE * settings.cloud_rps)  # between releases, at least
         self._job_cache = job_cache
         self._machine_registry = machine_registry
         self._machine_types = machine_types
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -76,8 +76,8 @@
         settings = self.settings
         self.state = KeyValueClient(
             settings.state,
-            settings.state_limits,
-            settings.controllers,
+            settings.store_limits,
+            settings.controller_count,
             max(MIN_STATE_TIMEOUT_S, settings.controller_lease_s * STATE_TIMEOUT_SHARE),
             self._connect,
         )
@@ -120,7 +120,7 @@
         self.quota_rebalancer = QuotaRebalancer(
             self.settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
         )
-        self.record_limits = RecordLimits(self.settings.state_limits, self.schema_version, self.state.writes_per_s)
+        self.record_limits = RecordLimits(self.settings.store_limits, self.schema_version, self.state.writes_per_s)
         self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
         self.cancellation_sealer = CancellationSealer(self.job_cache, self.job_writer)
         self.final_lookup = FinalRecordLookup(self.state, self.job_cache)
@@ -210,8 +210,8 @@
         self.job_cache.on_change(key, value, version)
         if key == FORMAT and self.schema_version.pipelines:
             # from now on the limits that are announced for the time after an upgrade may be in force
-            self.state.keep_within(self.settings.state_next)
-            self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
+            self.state.keep_within(self.settings.next_store_limits)
+            self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
         if key.startswith((JOB, HEAD, CHUNK, FINAL)):
             self.scheduling_loop.wake()
--- a/tidebend/controller/readiness.py
+++ b/tidebend/controller/readiness.py
@@ -56,7 +56,7 @@
         now = time.monotonic()
         # of the peers heard of lately: whether each one's last read is recent, by its own clock
         peers_with_recent_read = [
-            time.time() - peer.as_of <= max_age_s + self._settings.clock_off_s
+            time.time() - peer.as_of <= max_age_s + self._settings.max_clock_offset_s
             for peer in self._peer_exchange.peers.values()
             if now - peer.at <= max_age_s
         ]
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -114,7 +114,7 @@
             reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, clock),
             not_before=self._backed_off_until(job, now, clock),
             resource_share=largest_share(spec, list(self.types().values())),
-            start_by=job.startable_since + self.settings.start_aims.get(spec.job_class, math.inf),
+            start_by=job.startable_since + self.settings.start_objectives.get(spec.job_class, math.inf),
             avoids_gpus=self._can_avoid_gpus(spec),
             avoided_machines=self._avoided_machines(job, is_crash_looping, now),
         )
@@ -282,7 +282,9 @@
         return self._demands.get(job.id) or self._own_demand(job, estimate)
 
     def _own_demand(self, job: Job, estimate: float) -> Demand:
-        return own_demand(job.spec, job.submitted, estimate, self.settings.late_aims.get(job.spec.job_class, 1.0))
+        return own_demand(
+            job.spec, job.submitted, estimate, self.settings.deadline_objectives.get(job.spec.job_class, 1.0)
+        )
 
     def _step_s(self, spec: JobSpec, estimate: float) -> float:
         """Seconds that a step of a pipeline takes once it is ready.
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -85,7 +85,7 @@
 
 def show(settings: Settings) -> int:
     """Print for operators what is in force, and whom the next format waits for; returns the exit status."""
-    client = KeyValueClient(settings.state, settings.state_limits, settings.controllers, timeout=SHOW_TIMEOUT_S)
+    client = KeyValueClient(settings.state, settings.store_limits, settings.controller_count, timeout=SHOW_TIMEOUT_S)
     try:
         value, _ = client.get(FORMAT)
         print(f"format {_version_in_force(value)} is in force")
--- a/tidebend/settings/model.py
+++ b/tidebend/settings/model.py
@@ -83,24 +83,25 @@
     cloud: tuple[str, int]  # address of the cloud's interface
     state: tuple[str, int]  # address of the state service
     zones: tuple[str, ...]  # all zones of the cluster
-    clock_off_s: float  # the most that a wall clock differs from true time
+    max_clock_offset_s: float  # the most that a wall clock differs from true time
     teams: dict[str, Team]  # by name
-    start_aims: dict[str, float]  # class -> seconds within which its jobs are to start
-    late_aims: dict[str, float]  # class -> the greatest multiple of a deadline within which its jobs still count
+    start_objectives: dict[str, float]  # class -> seconds within which its jobs are to start
+    # class -> the greatest multiple of a deadline within which its jobs still count
+    deadline_objectives: dict[str, float]
     report_s: float  # between two reports of a worker
     lease_s: float  # a worker's lease, counted from when it sent the report that was answered
     gang_wait_s: float  # that a gang's task waits on its machine for the others
     gang_peer_s: float  # within which the tasks of a running gang notice that one of them is gone
     cancel_s: float  # from a cancellation's answer until no task of the job runs any more
-    state_limits: Limits  # in force
-    state_next: Limits  # the smaller of these and those that are announced for some moment after an upgrade
+    store_limits: Limits  # in force
+    next_store_limits: Limits  # the smaller of these and those that are announced for some moment after an upgrade
     cloud_rps: float  # requests a second that the cloud takes
     list_lag_s: float  # nominal delay of the cloud's list of machines; it may be more
     max_sockets: int  # that a controller may have open
     knobs: Knobs = field(default_factory=Knobs)
 
     @property
-    def controllers(self) -> int:
+    def controller_count(self) -> int:
         """How many controllers the cluster has."""
         return len(self.peers) + 1
 
