--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -23,7 +23,7 @@
 from tidebend.messages import paths
 from tidebend.protocol import store as wire
 from tidebend.provider import AgentProcesses, Kind, Provider
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import Reply, Server
 from tidebend.transport.connection_threads import ConnectionThreads
 from tidebend.transport.idle_connections import Connection, IdleConnections
@@ -426,7 +426,7 @@
 
 def test_items_of_the_state_service_go_on_after_each_page(engine):
     engine.transact({}, [Write(f"k/{key:06d}", b"1") for key in range(FLEET)])
-    service = StateService(engine, Limits(1000.0, 1000.0, 4096, 64))
+    service = StateService(engine, StoreLimits(1000.0, 1000.0, 4096, 64))
     keys, more = [], True
     while more:
         after = keys[-1] if keys else ""
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -17,10 +17,10 @@
     TransactionTooLargeError,
     WatchCache,
 )
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import NoAnswerError, UnreachableError
 
-LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
+LIMITS = StoreLimits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
 
 
 class Counted:
@@ -145,7 +145,7 @@
 
 
 def test_requests_beyond_our_own_share_are_not_sent():
-    client = client_of((200, {"logline": 1}), Limits(rps=60.0, write_rps=3.0, value_bytes=8192, txn_ops=12))
+    client = client_of((200, {"logline": 1}), StoreLimits(rps=60.0, write_rps=3.0, value_bytes=8192, txn_ops=12))
     with pytest.raises(OverBudgetError) as raised:
         client.transact({}, [("a", 1, None)] * 5, patience=0.0)
     # by its text users are told that there are too many requests
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,9 +24,9 @@
     Write,
 )
 from tidebend.kvstore.database import FILE
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 
-LIMITS = Limits(1e6, 1e6, 1024, 4)
+LIMITS = StoreLimits(1e6, 1e6, 1024, 4)
 # A data directory that the code of commit b21e54f wrote, copied while it was open, so that its last change is in the
 # write-ahead log only, and what that code read from it.
 SAMPLE = Path(__file__).parent / "samples" / "kvstore-b21e54f"
@@ -84,7 +84,7 @@
 
 
 def test_a_value_and_a_transaction_have_their_limits(engine):
-    service = StateService(engine, Limits(1e6, 1e6, 60 * 1024, 4))
+    service = StateService(engine, StoreLimits(1e6, 1e6, 60 * 1024, 4))
     big = "x" * (60 * 1024 - 2)
     assert service.handle("POST", "/multi", {"writes": [{"put": "a", "v": big}]})[0] == 200
     assert service.handle("POST", "/multi", {"writes": [{"put": "a", "v": big + "x"}]})[0] == 400
@@ -92,7 +92,7 @@
 
 
 def test_more_than_the_rates_is_refused_and_not_executed(engine):
-    service = StateService(engine, Limits(1e6, 5.0, 1024, 4))
+    service = StateService(engine, StoreLimits(1e6, 5.0, 1024, 4))
     statuses = [service.handle("POST", "/multi", {"writes": [{"put": f"k{n}", "v": 1}]})[0] for n in range(8)]
     assert statuses.count(200) in (5, 6)
     assert engine.count("k") == statuses.count(200)
@@ -225,7 +225,7 @@
     with pytest.raises(StoreUnavailableError):
         engine.transact({}, [Write("big2", big)])
     assert (
-        StateService(engine, Limits(1e6, 1e6, 32768, 4)).handle(
+        StateService(engine, StoreLimits(1e6, 1e6, 32768, 4)).handle(
             "POST", "/multi", {"writes": [{"put": "big", "v": "x" * 20_000}]}
         )[0]
         == 503
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -20,7 +20,7 @@
 from tidebend.kvstore import Engine, InProcessClient, StateService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import Reply
 
 log = logging.getLogger("control")
@@ -65,7 +65,7 @@
         self.ring = Keyring(keys)
         self._tls = settings.tls.client() if settings.tls else None
         state = settings.state
-        limits = Limits(
+        limits = StoreLimits(
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
         )
         self.state = StateService(self.engine, limits)
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -9,7 +9,7 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.record_chunks import ChunkIndex, chunk_size
 from tidebend.coordination.schema_version import SchemaVersion
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 
 # A transaction's records, packed, stay this far below the protocol's 64 KiB: keys and conditions come on top.
 MAX_TRANSACTION_BYTES = 48 * 1024
@@ -37,12 +37,12 @@
 class RecordLimits:
     """How much a record and a transaction hold, and which jobs fit them."""
 
-    def __init__(self, limits: Limits, schema_version: SchemaVersion, writes_per_s: float) -> None:
+    def __init__(self, limits: StoreLimits, schema_version: SchemaVersion, writes_per_s: float) -> None:
         """Begin with `limits`; for `writes_per_s` see `apply`."""
         self.schema_version = schema_version
         self.apply(limits, writes_per_s)
 
-    def apply(self, limits: Limits, writes_per_s: float) -> None:
+    def apply(self, limits: StoreLimits, writes_per_s: float) -> None:
         """Keep to these limits from now on; `writes_per_s` is our share of the service's writes per second."""
         self.max_value_bytes = limits.value_bytes
         budget = int(BUDGET_SHARE * writes_per_s)
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -21,7 +21,7 @@
 from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.kvclient.results import ABSENT, Changes, Page, VersionedValue
 from tidebend.protocol import Write
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
 log = logging.getLogger("kvclient")
@@ -68,7 +68,7 @@
     def __init__(
         self,
         address: tuple[str, int],
-        limits: Limits,
+        limits: StoreLimits,
         controllers: int,
         timeout: float,
         connect: Callable[..., HttpClient] = HttpClient,
@@ -94,7 +94,7 @@
         """How many changes we may make in a second."""
         return self._budget.writes_per_s
 
-    def keep_within(self, limits: Limits) -> None:
+    def keep_within(self, limits: StoreLimits) -> None:
         """Take over other limits of the store."""
         self._budget.keep_within(limits)
 
--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -7,7 +7,7 @@
 
 from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 from tidebend.kvclient.steady_time import NEVER
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import TokenBucket
 
 # A controller's share is so many times an equal one, since the others seldom use theirs in the same second; when they
@@ -30,7 +30,7 @@
 class RequestBudget:
     """Token buckets for requests, changes and submissions, and the pauses that keep reads within their shares."""
 
-    def __init__(self, limits: Limits, controllers: int, timeout_s: float) -> None:
+    def __init__(self, limits: StoreLimits, controllers: int, timeout_s: float) -> None:
         """`controllers`: how many share the limits; `timeout_s`: of a request."""
         self._share = min(1.0, EQUAL_SHARES / controllers)
         self._controllers = controllers
@@ -42,14 +42,14 @@
         self._busy_until = NEVER  # steady time
         self._set_pauses(limits)
 
-    def keep_within(self, limits: Limits) -> None:
+    def keep_within(self, limits: StoreLimits) -> None:
         """Take over other limits of the store."""
         self._requests.change(limits.rps * self._share)
         self._writes.change(limits.write_rps * self._share)
         self._submissions.change(SUBMIT_SHARE * self.writes_per_s)
         self._set_pauses(limits)
 
-    def _set_pauses(self, limits: Limits) -> None:
+    def _set_pauses(self, limits: StoreLimits) -> None:
         self.watch_pause_s = self._controllers / (WATCH_SHARE * limits.rps)
         self._poll_pause_s = self._controllers / (POLL_SHARE * limits.rps)
         self._busy_poll_pause_s = self._controllers / (POLL_SHARE_BUSY * limits.rps)
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -17,7 +17,7 @@
 )
 from tidebend.kvstore.records import Change, Item, Write
 from tidebend.protocol import store as wire
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import TokenBucket
 
 MOST_ITEMS = 1000  # a page: `more` says that it goes on
@@ -39,7 +39,7 @@
 class StateService:
     """Answers the protocol's requests from an engine, within the limits of the settings."""
 
-    def __init__(self, engine: Engine, limits: Limits) -> None:
+    def __init__(self, engine: Engine, limits: StoreLimits) -> None:
         """The engine stays the caller's to close."""
         self.engine = engine
         self.limits = limits
--- a/tidebend/settings/__init__.py
+++ b/tidebend/settings/__init__.py
@@ -7,10 +7,10 @@
 from tidebend.settings.model import (
     LEASE_MARGIN,
     Knobs,
-    Limits,
     Peer,
     Settings,
     SettingsError,
+    StoreLimits,
     Team,
 )
 from tidebend.settings.platform_file import load_settings, read_settings
@@ -18,10 +18,10 @@
 __all__ = [
     "LEASE_MARGIN",
     "Knobs",
-    "Limits",
     "Peer",
     "Settings",
     "SettingsError",
+    "StoreLimits",
     "Team",
     "load_knobs",
     "load_settings",
--- a/tidebend/settings/model.py
+++ b/tidebend/settings/model.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class StoreLimits:
     """What the state service takes."""
 
     rps: float  # requests a second, of all kinds
@@ -93,8 +93,8 @@
     gang_wait_s: float  # that a gang's task waits on its machine for the others
     gang_peer_s: float  # within which the tasks of a running gang notice that one of them is gone
     cancel_s: float  # from a cancellation's answer until no task of the job runs any more
-    store_limits: Limits  # in force
-    next_store_limits: Limits  # the smaller of these and those that are announced for some moment after an upgrade
+    store_limits: StoreLimits  # in force
+    next_store_limits: StoreLimits  # the smaller of these and those that are announced for some moment after an upgrade
     cloud_rps: float  # requests a second that the cloud takes
     list_lag_s: float  # nominal delay of the cloud's list of machines; it may be more
     max_sockets: int  # that a controller may have open
--- a/tidebend/settings/platform_file.py
+++ b/tidebend/settings/platform_file.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tidebend.settings.knobs_file import load_knobs
-from tidebend.settings.model import Knobs, Limits, Peer, Settings, SettingsError, Team
+from tidebend.settings.model import Knobs, Peer, Settings, SettingsError, StoreLimits, Team
 from tidebend.settings.table_reader import TableReader
 
 BYTES_PER_KB = 1024
@@ -78,8 +78,8 @@
     return tuple(Peer(row.text("member"), row.text("site"), row.address("address")) for row in top.tables("peers"))
 
 
-def _limits(state: TableReader) -> Limits:
-    return Limits(
+def _limits(state: TableReader) -> StoreLimits:
+    return StoreLimits(
         rps=state.number("rps", LEAST_RATE),
         write_rps=state.number("write_rps", LEAST_RATE),
         value_bytes=int(state.number("value_kb", LEAST_VALUE_KB) * BYTES_PER_KB),
@@ -87,13 +87,13 @@
     )
 
 
-def _next_limits(state: TableReader, now: Limits) -> Limits:
+def _next_limits(state: TableReader, now: StoreLimits) -> StoreLimits:
     """`state.next` tells of limits to come; what it leaves out stays as it is, and none grows."""
     if "next" not in state:
         return now
     table = state.table("next")
     value_kb = now.value_bytes / BYTES_PER_KB
-    return Limits(
+    return StoreLimits(
         rps=min(now.rps, table.number("rps", LEAST_RATE, default=now.rps)),
         write_rps=min(now.write_rps, table.number("write_rps", LEAST_RATE, default=now.write_rps)),
         value_bytes=min(
