--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -75,7 +75,7 @@
 def test_best_value_per_resource_goes_first():
     # the short one earns the same with less: it starts, the long one is held for afterwards
     placed = map_tasks([want("long", cpus=8.0, estimate_s=50.0), want("short", cpus=8.0)], [place()], 0.0, 100.0)
-    assert next((p.job, p.start, p.starts_now) for p in placed) == ("short", 0.0, True)
+    assert next((p.job_id, p.start, p.starts_now) for p in placed) == ("short", 0.0, True)
 
 
 def test_place_holder_is_not_disturbed_by_backfill():
@@ -84,7 +84,7 @@
     high = want("high", cpus=8.0, priority="high")
     filler = want("filler", cpus=4.0, estimate_s=15.0)
     long = want("long", cpus=4.0, estimate_s=30.0)
-    placed = {p.job: p for p in map_tasks([high, filler, long], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)}
+    placed = {p.job_id: p for p in map_tasks([high, filler, long], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)}
     assert (placed["high"].start, placed["high"].starts_now) == (20.0, False)
     assert (placed["filler"].start, placed["filler"].starts_now) == (0.0, True)
     assert "long" not in placed or not placed["long"].starts_now
@@ -95,7 +95,7 @@
     first = map_tasks([held], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)
     assert all(not p.starts_now for p in first)
     later = map_tasks([want("held", cpus=8.0), want("better", cpus=8.0, priority="high")], [place()], 20.0, 100.0)
-    assert [p.job for p in later if p.starts_now] == ["better"]
+    assert [p.job_id for p in later if p.starts_now] == ["better"]
 
 
 def test_spread_counts_places_still_held():
@@ -163,7 +163,7 @@
         tasks = min(w.waiting, p.timeline.room(slot.start, slot.finish, need_of(w.spec)))
         p.timeline.take(slot.start, slot.finish, tuple(part * tasks for part in need_of(w.spec)))
         w.waiting -= tasks
-        placements.append((w.job, p.name, tasks, slot.start <= now))
+        placements.append((w.job_id, p.name, tasks, slot.start <= now))
 
 
 def busy_fleet(random_, machines):
@@ -203,7 +203,7 @@
         for job, _, tasks, starts in plain(deepcopy(wants), deepcopy(places), 0.0, 240.0):
             expected[job] += tasks * starts
         for placement in map_tasks(wants, places, 0.0, 240.0):
-            found[placement.job] += placement.tasks * placement.starts_now
+            found[placement.job_id] += placement.tasks * placement.starts_now
         same += expected == found
     assert same >= 80
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -129,7 +129,7 @@
 
 
 def started(placements, job):
-    return sum(placement.tasks for placement in placements if placement.job == job and placement.starts_now)
+    return sum(placement.tasks for placement in placements if placement.job_id == job and placement.starts_now)
 
 
 def test_room_goes_to_what_is_owed_before_a_borrowers_standing_reservations():
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -46,7 +46,7 @@
 
     @classmethod
     def of(cls, request: TaskRequest) -> _RequestRank:
-        return cls(not request.service, -request.value.starting_value, request.value.soft_deadline, request.job)
+        return cls(not request.is_service, -request.value.starting_value, request.value.soft_deadline, request.job_id)
 
 
 class _OfferRank(NamedTuple):
@@ -101,9 +101,9 @@
             return  # it waits for others, and a machine would be up before they are done
         fitting_types = self._fitting_types(request)
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
-        by = max(self._slack_s(request), ready_in, 0.0 if request.service else boot_s)
+        by = max(self._slack_s(request), ready_in, 0.0 if request.is_service else boot_s)
         capacities, missing = self._capacities, self._missing_tasks(request)
-        if request.gang and not request.spec.spread:
+        if request.is_gang and not request.spec.spread:
             zone = self._zone_for_gang(request, offers, by, fitting_types)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
             offers = [offer for offer in offers if offer.zone == zone]
@@ -134,7 +134,7 @@
     def _missing_tasks(self, request: TaskRequest) -> int:
         """How many of the waiting tasks must run side by side for the job to make its soft deadline."""
         side_by_side = request.waiting
-        if not request.service and request.spec.kind != "gang":
+        if not request.is_service and request.spec.kind != "gang":
             left = request.value.soft_deadline - self._now
             rounds = max(1, math.floor(left / max(WRONG_BY * request.estimate, LEAST_RUN_S)))
             side_by_side = math.ceil(request.waiting / rounds)
@@ -142,7 +142,7 @@
 
     def _slack_s(self, request: TaskRequest) -> float:
         """Seconds that a request's tasks may wait for others to end; a service's replicas don't wait."""
-        if request.service:
+        if request.is_service:
             return 0.0
         until_latest_start = request.value.soft_deadline - self._now - WRONG_BY * request.estimate
         return max(0.0, min(SPARE * until_latest_start, request.start_by - self._now))
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -104,7 +104,7 @@
             self._demand(job, estimate), job.startable_since, estimate, self._is_within_guarantee(spec, used)
         )
         return TaskRequest(
-            job=job.id,
+            job_id=job.id,
             spec=spec,
             value=value,
             estimate=estimate,
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -104,7 +104,7 @@
         with_victims: list[MachineWithVictims] | None = None
         for request in requests:
             rank = PRIORITIES.index(request.spec.priority)
-            if rank == 0 or request.gang or not request.service or request.headroom < 1:
+            if rank == 0 or request.is_gang or not request.is_service or request.headroom < 1:
                 continue
             if not self._is_due(request, shards, ours, now) or request.not_before > clock:
                 continue
@@ -132,7 +132,7 @@
             self._stop(machine, plan, request)
         if used:
             self.send({machines[index].machine.name for index in used})
-            self._until[request.job] = now + REPORTS_TO_STOP * self.settings.report_s
+            self._until[request.job_id] = now + REPORTS_TO_STOP * self.settings.report_s
             machines[:] = [row for index, row in enumerate(machines) if index not in used]
 
     def _is_due(self, request: TaskRequest, shards: list[str], ours: set[str], now: float) -> bool:
@@ -141,12 +141,12 @@
         Every shard has had time to place it without stopping anything; after that they wait for different times before
         they stop tasks, too.
         """
-        if now < self._until.get(request.job, 0.0):
+        if now < self._until.get(request.job_id, 0.0):
             return False
-        pending_since = self.claim_stagger.pending_since(request.job)
+        pending_since = self.claim_stagger.pending_since(request.job_id)
         if pending_since is None:
             return False
-        order = shard_order(request.job, shards)
+        order = shard_order(request.job_id, shards)
         position = min((order.index(shard) for shard in ours), default=0)
         wait_s = (2 * len(shards) + 1) * self.claim_stagger.interval_s + position * self.settings.report_s
         return now - pending_since >= wait_s
@@ -201,7 +201,7 @@
             "machine %s: %s make room for %s, %.0f s of work lost",
             machine.name,
             [key[:2] for key, _ in plan.stops],
-            request.job,
+            request.job_id,
             plan.loss,
         )
 
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -265,5 +265,5 @@
     starts: dict[str, list[Placement]] = {}
     for placement in placements:
         if placement.starts_now:
-            starts.setdefault(placement.job, []).append(placement)
+            starts.setdefault(placement.job_id, []).append(placement)
     return starts
--- a/tidebend/scheduling/event_state.py
+++ b/tidebend/scheduling/event_state.py
@@ -45,5 +45,5 @@
         """Whether some of its tasks, or all of a gang's, are within what its team has still to get."""
         if request.spec.team not in self.unmet_guarantees:
             return False
-        least = request.waiting if request.gang else 1
+        least = request.waiting if request.is_gang else 1
         return self.placeable_tasks(request, within_guarantee=True) >= least
--- a/tidebend/scheduling/gang_placement.py
+++ b/tidebend/scheduling/gang_placement.py
@@ -81,4 +81,4 @@
     finish = start + max(share.length for share in shares)
     for share in shares:
         share.machine.timeline.take(start, finish, multiply(need, share.tasks))
-    return [Placement(request.job, share.machine.name, share.tasks, start, finish, start <= now) for share in shares]
+    return [Placement(request.job_id, share.machine.name, share.tasks, start, finish, start <= now) for share in shares]
--- a/tidebend/scheduling/mapping_event.py
+++ b/tidebend/scheduling/mapping_event.py
@@ -53,18 +53,18 @@
         lapse with the event as others do. They go together since the pick then gives a slot on a machine that has the
         image to the request that it saves the fetch.
         """
-        self._pick([request for request in self._state.requests if request.service])
-        batch = [request for request in self._state.requests if not request.service]
-        guaranteed = frozenset(request.job for request in batch if self._state.is_within_guarantee(request))
+        self._pick([request for request in self._state.requests if request.is_service])
+        batch = [request for request in self._state.requests if not request.is_service]
+        guaranteed = frozenset(request.job_id for request in batch if self._state.is_within_guarantee(request))
         first = self._guaranteed_or_of_higher_priority(batch, guaranteed)
         self._reservations_then_pick(first, guaranteed)
         # a guaranteed task that found no slot won't find one in what is left: an event goes over each request once
         done = {
-            request.job
+            request.job_id
             for request in first
-            if request.job not in guaranteed or self._state.is_within_guarantee(request)
+            if request.job_id not in guaranteed or self._state.is_within_guarantee(request)
         }
-        rest = [request for request in batch if request.job not in done and request.waiting > 0]
+        rest = [request for request in batch if request.job_id not in done and request.waiting > 0]
         self._reservations_then_pick(rest)
         return self._state.placements
 
@@ -72,14 +72,16 @@
     def _guaranteed_or_of_higher_priority(batch: list[TaskRequest], guaranteed: frozenset[str]) -> list[TaskRequest]:
         """Guaranteed requests, and borrowed ones whose starting value is above the least of the guaranteed."""
         least_value = min(
-            (request.value.starting_value for request in batch if request.job in guaranteed), default=math.inf
+            (request.value.starting_value for request in batch if request.job_id in guaranteed), default=math.inf
         )
-        return [request for request in batch if request.job in guaranteed or request.value.starting_value > least_value]
+        return [
+            request for request in batch if request.job_id in guaranteed or request.value.starting_value > least_value
+        ]
 
     def _reservations_then_pick(self, requests: list[TaskRequest], guaranteed: frozenset[str] = frozenset()) -> None:
         """Place standing reservations one by one, the oldest first; then pick among the others."""
         reserved = [(request.reserved_since, request) for request in requests if request.reserved_since is not None]
-        for _, request in sorted(reserved, key=lambda pair: (pair[0], pair[1].job)):
+        for _, request in sorted(reserved, key=lambda pair: (pair[0], pair[1].job_id)):
             self._pick([request], guaranteed)
         self._pick([request for request in requests if request.reserved_since is None], guaranteed)
 
--- a/tidebend/scheduling/slots.py
+++ b/tidebend/scheduling/slots.py
@@ -26,7 +26,7 @@
 
 def rate_of(request: TaskRequest, finish: float, now: float) -> float:
     """Value per resource of a slot that ends at `finish`; it never rises with the finish."""
-    if request.service:
+    if request.is_service:
         # every second that a replica isn't up is lost, so that its earliest slot is worth the most
         return request.value.starting_value - (finish - request.estimate - now)
     return request.value.at(finish) / max(request.estimate * request.resource_share, EPSILON)
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -43,7 +43,7 @@
 class TaskRequest:
     """A job's waiting tasks: they are alike in value and size and share one entry."""
 
-    job: str
+    job_id: str
     spec: JobSpec
     value: Value
     estimate: float  # corrected run time of a task, in seconds
@@ -59,12 +59,12 @@
     relocating: bool = False  # still in a lost zone: room is held for it, and nothing of it starts yet
 
     @property
-    def service(self) -> bool:
+    def is_service(self) -> bool:
         """Whether the tasks are replicas of a service, which never end."""
         return self.spec.kind == "service"
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether the tasks have to start together; a gang of which one task waits is placed like an array."""
         return self.spec.kind == "gang" and self.waiting > 1
 
@@ -103,7 +103,7 @@
 class Placement:
     """Tasks of one job that are placed on one machine for the same time."""
 
-    job: str
+    job_id: str
     machine: str
     tasks: int
     start: float
@@ -115,7 +115,7 @@
     """Whether a request may be placed on a machine at all, however much is free there."""
     if request.avoids_gpus and machine.type.gpus > 0:
         return False
-    if request.service and machine.reclaimed_at < math.inf:
+    if request.is_service and machine.reclaimed_at < math.inf:
         return False
     if machine.name in request.avoided_machines:
         return False
--- a/tidebend/scheduling/value_per_resource.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -58,7 +58,7 @@
     def run(self) -> None:
         """Place tasks until no slot is left or nothing can start any more. Gangs are placed before any other task."""
         for request_index, request in enumerate(self._requests):
-            if request.gang:
+            if request.is_gang:
                 self._place_gang(request)
             else:
                 self._offer_open_machines(request_index)
@@ -69,7 +69,7 @@
 
     def _place_gang(self, request: TaskRequest) -> None:
         state = self._state
-        if not state.placeable_tasks(request, request.job in self._guaranteed) >= request.waiting > 0:
+        if not state.placeable_tasks(request, request.job_id in self._guaranteed) >= request.waiting > 0:
             return
         for placement in place_gang(request, state.machines, state.now, state.latest_start) or ():
             state.placements.append(placement)
@@ -118,7 +118,7 @@
         """Take the top of the heap: place it, compute it again, or look at the next busy machines."""
         slot, request_index, machine_index, machine_changes = heappop(self._heap)
         request = self._requests[request_index]
-        within_guarantee = request.job in self._guaranteed
+        within_guarantee = request.job_id in self._guaranteed
         if within_guarantee and self._state.placeable_tasks(request, within_guarantee) < 1:
             return  # its team has all of its guarantee
         if machine_index == _NEXT_BUSY_MACHINES:
@@ -162,7 +162,7 @@
         if tasks < 1:
             return False
         end = slot.finish
-        if request.service:
+        if request.is_service:
             tasks = 1  # replicas are told apart by where they run
             end = math.inf
         machine.timeline.take(slot.start, end, multiply(need, tasks))
@@ -177,7 +177,7 @@
         if starts_now and machine.fetch_s(request.spec) > 0:
             machine.images.add(request.spec.image)
             machine.fetching += 1
-        placement = Placement(request.job, machine.name, tasks, slot.start, slot.finish, starts_now)
+        placement = Placement(request.job_id, machine.name, tasks, slot.start, slot.finish, starts_now)
         self._state.placements.append(placement)
         request.waiting -= tasks
         request.headroom -= tasks
