--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -548,7 +548,7 @@
         rows.append(MachineWithVictims(place, machine, (0.0, 0.0, 31.0), [victim]))
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
     want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, avoids_gpus=True)
-    scheduling_loop.preemptor.make_room_for(want, 3, list(rows), 0.0)
+    scheduling_loop.preemptor.preempt_for(want, 3, list(rows), 0.0)
     assert [bool(row.machine.stop_requests) for row in rows] == [True, False]
 
 
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -7,7 +7,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.protocol import parse_job
-from tidebend.scheduling import Demand, demands
+from tidebend.scheduling import Demand, propagate_demands
 
 SPEC = parse_job(FIELDS)
 
@@ -97,16 +97,19 @@
 def test_deadline_and_priority_of_the_last_job_reach_all_that_it_needs_less_the_critical_path():
     after = {"a": ["b", "c"], "b": ["d"], "c": ["d"]}
     own = {"a": Demand(0), "b": Demand(0), "c": Demand(1, 500.0, 600.0), "d": Demand(2, 200.0, 230.0)}
-    found = demands(own, {"a": 5.0, "b": 30.0, "c": 10.0, "d": 8.0}, after)
+    found = propagate_demands(own, {"a": 5.0, "b": 30.0, "c": 10.0, "d": 8.0}, after)
     assert found["b"] == Demand(2, 192.0, 222.0)
     assert found["c"] == Demand(2, 192.0, 222.0)
     assert found["a"] == Demand(2, 162.0, 192.0)  # through b, the longer way
     # without the last job, or before it comes, nothing is inherited
-    assert demands({"a": Demand(0), "b": Demand(0)}, {"a": 5.0, "b": 30.0}, {"a": ["b"]})["a"].soft_deadline == math.inf
+    assert (
+        propagate_demands({"a": Demand(0), "b": Demand(0)}, {"a": 5.0, "b": 30.0}, {"a": ["b"]})["a"].soft_deadline
+        == math.inf
+    )
 
 
 def test_demands_of_a_deep_chain_need_no_recursion():
     depth = 3000
     own = {n: Demand(0) for n in range(depth)} | {depth: Demand(3, 1e6, 1e6)}
-    found = demands(own, dict.fromkeys(range(depth + 1), 1.0), {n: [n + 1] for n in range(depth)})
+    found = propagate_demands(own, dict.fromkeys(range(depth + 1), 1.0), {n: [n + 1] for n in range(depth)})
     assert found[0] == Demand(3, 1e6 - depth, 1e6 - depth)
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -16,10 +16,10 @@
     Timeline,
     Value,
     allowed_on,
+    count_fitting_tasks,
     map_tasks,
     need_of,
     own_demand,
-    times_fit,
     value_of,
     value_per_resource,
 )
@@ -53,14 +53,14 @@
     return JobSpec(**{**fields, **changes})
 
 
-def place(name="m0", zone="north", spot=False, busy=()):
+def make_machine(name="m0", zone="north", spot=False, busy=()):
     timeline = Timeline(0.0, (8.0, 0.0, 32.0))
     for start, end, cpus in busy:
         timeline.take(start, end, (cpus, 0.0, 0.0))
     return CandidateMachine(name, KIND, zone, spot, timeline)
 
 
-def want(job, **changes):
+def make_request(job, **changes):
     made = spec(**changes)
     return TaskRequest(
         job, made, value_of(own_demand(made, 0.0, made.estimate_s), 0.0, made.estimate_s), made.estimate_s, made.tasks
@@ -74,27 +74,34 @@
 
 def test_best_value_per_resource_goes_first():
     # the short one earns the same with less: it starts, the long one is held for afterwards
-    placed = map_tasks([want("long", cpus=8.0, estimate_s=50.0), want("short", cpus=8.0)], [place()], 0.0, 100.0)
+    placed = map_tasks(
+        [make_request("long", cpus=8.0, estimate_s=50.0), make_request("short", cpus=8.0)], [make_machine()], 0.0, 100.0
+    )
     assert next((p.job_id, p.start, p.starts_now) for p in placed) == ("short", 0.0, True)
 
 
 def test_place_holder_is_not_disturbed_by_backfill():
     # the high one needs all and waits for the running task's end at 20; a filler of 30 s would be in its way,
     # one of 15 s is not
-    high = want("high", cpus=8.0, priority="high")
-    filler = want("filler", cpus=4.0, estimate_s=15.0)
-    long = want("long", cpus=4.0, estimate_s=30.0)
-    placed = {p.job_id: p for p in map_tasks([high, filler, long], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)}
+    high = make_request("high", cpus=8.0, priority="high")
+    filler = make_request("filler", cpus=4.0, estimate_s=15.0)
+    long = make_request("long", cpus=4.0, estimate_s=30.0)
+    placed = {p.job_id: p for p in map_tasks([high, filler, long], [make_machine(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)}
     assert (placed["high"].start, placed["high"].starts_now) == (20.0, False)
     assert (placed["filler"].start, placed["filler"].starts_now) == (0.0, True)
     assert "long" not in placed or not placed["long"].starts_now
 
 
 def test_place_holder_lapses_for_a_better_later_task():
-    held = want("held", cpus=8.0)
-    first = map_tasks([held], [place(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)
+    held = make_request("held", cpus=8.0)
+    first = map_tasks([held], [make_machine(busy=[(0.0, 20.0, 4.0)])], 0.0, 100.0)
     assert all(not p.starts_now for p in first)
-    later = map_tasks([want("held", cpus=8.0), want("better", cpus=8.0, priority="high")], [place()], 20.0, 100.0)
+    later = map_tasks(
+        [make_request("held", cpus=8.0), make_request("better", cpus=8.0, priority="high")],
+        [make_machine()],
+        20.0,
+        100.0,
+    )
     assert [p.job_id for p in later if p.starts_now] == ["better"]
 
 
@@ -107,26 +114,26 @@
         1,
         tasks_by_zone={"north": 1},
     )
-    placed = map_tasks([service], [place("a"), place("b", "south")], 0.0, 100.0)
+    placed = map_tasks([service], [make_machine("a"), make_machine("b", "south")], 0.0, 100.0)
     assert [p.machine for p in placed] == ["b"]
 
 
 def test_services_never_on_machines_that_are_being_taken():
-    taken = place()
+    taken = make_machine()
     taken.reclaimed_at = 60.0
-    assert map_tasks([want("s", kind="service", estimate_s=0.0)], [taken], 0.0, 100.0) == []
+    assert map_tasks([make_request("s", kind="service", estimate_s=0.0)], [taken], 0.0, 100.0) == []
 
 
 def test_gang_starts_whole_or_not():
-    assert map_tasks([want("g", kind="gang", tasks=3)], [place()], 0.0, 100.0) == []
-    both = map_tasks([want("g", kind="gang", tasks=3)], [place("a"), place("b")], 0.0, 100.0)
+    assert map_tasks([make_request("g", kind="gang", tasks=3)], [make_machine()], 0.0, 100.0) == []
+    both = map_tasks([make_request("g", kind="gang", tasks=3)], [make_machine("a"), make_machine("b")], 0.0, 100.0)
     assert sum(p.tasks for p in both if p.starts_now) == 3
 
 
 def test_teams_at_their_limit_are_skipped():
-    limited = want("j", tasks=2)
+    limited = make_request("j", tasks=2)
     limited.headroom = 1
-    assert sum(p.tasks for p in map_tasks([limited], [place()], 0.0, 100.0)) == 1
+    assert sum(p.tasks for p in map_tasks([limited], [make_machine()], 0.0, 100.0)) == 1
 
 
 def test_task_sets():
@@ -143,7 +150,7 @@
     wants = [want for want in wants if want.waiting > 0]
     while True:
         if not any(
-            times_fit(p.timeline.free[0], need_of(w.spec)) and allowed_on(w, p)
+            count_fitting_tasks(p.timeline.free[0], need_of(w.spec)) and allowed_on(w, p)
             for w in wants
             for p in places
             if w.waiting > 0
@@ -175,13 +182,13 @@
             if cpus <= free:
                 busy.append((0.0, random_.choice([3.0, 9.0, 21.0, 40.0]), cpus))
                 free -= cpus
-        made.append(place(f"m{number:03}", busy=busy))
+        made.append(make_machine(f"m{number:03}", busy=busy))
     return made
 
 
 def some_wants(random_, jobs):
     return [
-        want(
+        make_request(
             f"j{number}",
             cpus=random_.choice([1.0, 2.0, 5.0]),
             estimate_s=random_.uniform(5.0, 60.0),
@@ -211,8 +218,8 @@
 def test_work_in_an_event_follows_the_open_machines_and_not_the_fleet(monkeypatch):
     looked = []
     monkeypatch.setattr(value_per_resource, "best_slot", lambda *args: looked.append(1) or best_slot(*args))
-    places = [place(f"m{number:03}", busy=[(0.0, 30.0, 8.0)]) for number in range(400)] + [place("open")]
-    map_tasks([want(f"j{number}", cpus=8.0) for number in range(20)], places, 0.0, 40.0)
+    places = [make_machine(f"m{number:03}", busy=[(0.0, 30.0, 8.0)]) for number in range(400)] + [make_machine("open")]
+    map_tasks([make_request(f"j{number}", cpus=8.0) for number in range(20)], places, 0.0, 40.0)
     assert len(looked) < 100
 
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -13,7 +13,7 @@
     stale_pair,
     transactions_lost,
 )
-from tests.test_scheduling import place, want
+from tests.test_scheduling import make_machine, make_request
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.controller.records.job_writer import JobEdit
 from tidebend.kvclient import OutcomeUnknownError
@@ -134,10 +134,10 @@
 
 def test_room_goes_to_what_is_owed_before_a_borrowers_standing_reservations():
     """The borrower has waited for longest; the small team is owed four tasks of eight."""
-    places = [place(f"m{number}") for number in range(3)]  # two tasks fit on each
-    greedy = want("greedy", team="greedy", tasks=10)
+    places = [make_machine(f"m{number}") for number in range(3)]  # two tasks fit on each
+    greedy = make_request("greedy", team="greedy", tasks=10)
     greedy.reserved_since = greedy.value.soft_deadline
-    small = want("small", team="small", tasks=8)
+    small = make_request("small", team="small", tasks=8)
     owed = {"small": GuaranteeBalance(16.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
     placements = map_tasks([greedy, small], places, 0.0, 60.0, owed)
     assert (started(placements, "small"), started(placements, "greedy")) == (4, 2)
@@ -145,27 +145,27 @@
 
 
 def test_a_gang_is_owed_only_if_all_of_it_is_within_the_guarantee():
-    greedy = want("greedy", team="greedy", tasks=6)
+    greedy = make_request("greedy", team="greedy", tasks=6)
     greedy.reserved_since = greedy.value.soft_deadline
-    gang = want("gang", team="small", kind="gang", tasks=3)
-    places = [place(f"m{number}") for number in range(2)]
+    gang = make_request("gang", team="small", kind="gang", tasks=3)
+    places = [make_machine(f"m{number}") for number in range(2)]
     assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 0
-    greedy = want("greedy", team="greedy", tasks=6)
+    greedy = make_request("greedy", team="greedy", tasks=6)
     greedy.reserved_since = greedy.value.soft_deadline
-    gang = want("gang", team="small", kind="gang", tasks=3)
-    places = [place(f"m{number}") for number in range(2)]
+    gang = make_request("gang", team="small", kind="gang", tasks=3)
+    places = [make_machine(f"m{number}") for number in range(2)]
     assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(12.0, 0.0)}), "gang") == 3
 
 
 def test_a_gang_that_is_owed_in_part_only_is_placed_like_what_is_borrowed():
-    gang = want("gang", team="small", kind="gang", tasks=3)
-    places = [place(f"m{number}") for number in range(2)]
+    gang = make_request("gang", team="small", kind="gang", tasks=3)
+    places = [make_machine(f"m{number}") for number in range(2)]
     assert started(map_tasks([gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 3
 
 
 def test_borrowed_work_of_a_higher_priority_takes_part_in_the_pick_on_equal_terms():
-    urgent = want("urgent", team="greedy", tasks=2, priority="high")
-    small = want("small", team="small", tasks=8)
+    urgent = make_request("urgent", team="greedy", tasks=2, priority="high")
+    small = make_request("small", team="small", tasks=8)
     owed = {"small": GuaranteeBalance(100.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
-    placements = map_tasks([small, urgent], [place(f"m{number}") for number in range(2)], 0.0, 60.0, owed)
+    placements = map_tasks([small, urgent], [make_machine(f"m{number}") for number in range(2)], 0.0, 60.0, owed)
     assert (started(placements, "urgent"), started(placements, "small")) == (2, 2)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -247,5 +247,5 @@
         gang = Job("req-g", 1, spec, 0.0).with_allocations([Allocation("vm-000001", 1, 1, 1, time.time(), "north")])
         machine = first.machine_registry.machines["vm-000000"]
         machine.tasks["req-g", 1, 1] = TaskReport("req-g", 1, 1, "ended", "error", False)
-        assert first.scheduling_loop.pending_jobs._know_the_attempt(gang) == {"vm-000000"}
-        assert not first.scheduling_loop.pending_jobs._know_the_attempt(Job("req-g", 1, spec, 0.0))
+        assert first.scheduling_loop.pending_jobs._machines_with_attempt(gang) == {"vm-000000"}
+        assert not first.scheduling_loop.pending_jobs._machines_with_attempt(Job("req-g", 1, spec, 0.0))
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from tidebend.autoscaling.capacity import Capacity, Offer, ProvisionRequest
-from tidebend.scheduling import Amount, TaskRequest, need_of, times_fit
+from tidebend.scheduling import Amount, TaskRequest, count_fitting_tasks, need_of
 
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
@@ -119,7 +119,7 @@
             and (spec.spot or not offer.spot)
             and offer.zone in offer.type.zones
             and spec.zone in (None, offer.zone)
-            and request.zone_room(offer.zone) > 0
+            and request.zone_headroom(offer.zone) > 0
             and not (request.avoids_gpus and offer.type.gpus > 0)
         ]
 
@@ -169,7 +169,7 @@
         room = {zone: 0 for zone in zones if request.spec.zone in (None, zone)}
         for capacity in self._capacities:
             if capacity.allowed(request.spec, fitting_types):
-                room[capacity.zone] += times_fit(capacity.room_by(by), need)
+                room[capacity.zone] += count_fitting_tasks(capacity.room_by(by), need)
         return room
 
     def _zone_rank(self, request: TaskRequest, zone: str, room: int, offers: list[Offer]) -> _ZoneRank:
@@ -197,7 +197,7 @@
         """The offer that costs least for each task that fits; of equals the first. None if no task fits on any."""
         best: _BestOffer | None = None
         for offer in offers:
-            tasks = min(missing, times_fit(offer.whole, need), request.zone_room(offer.zone))
+            tasks = min(missing, count_fitting_tasks(offer.whole, need), request.zone_headroom(offer.zone))
             if tasks < 1:
                 continue
             machines = self._machines_by_zone.get(offer.zone, 0) + self.machines.get(offer, 0)
@@ -215,7 +215,7 @@
             break
         if not capacity.allowed(request.spec, fitting_types):
             continue
-        tasks = min(missing, times_fit(capacity.room_by(by), need), request.zone_room(capacity.zone))
+        tasks = min(missing, count_fitting_tasks(capacity.room_by(by), need), request.zone_headroom(capacity.zone))
         if tasks > 0:
             capacity.take(need, tasks)
             request.add_to_zone(capacity.zone, tasks)
--- a/tidebend/controller/autoscaling/autoscaler.py
+++ b/tidebend/controller/autoscaling/autoscaler.py
@@ -124,7 +124,7 @@
             self._job_cache,
             self.releaser,
             self.evacuation,
-            self._scheduling_loop.free_capacity.suspect_s,
+            self._scheduling_loop.free_capacity.suspect_after_s,
             self._scheduling_loop.send,
         )
 
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -164,7 +164,7 @@
         allocations: list[Allocation] = []
         for placement in group:
             machine = machines[placement.machine].machine
-            tasks = lowest(pending, min(placement.tasks, request.zone_room(machine.zone)))
+            tasks = lowest(pending, min(placement.tasks, request.zone_headroom(machine.zone)))
             if not tasks:
                 continue
             if attempt <= job.started and any((job.id, index, attempt) in machine.tasks for index in members(tasks)):
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -54,11 +54,13 @@
         self.types = types
         self.estimates = estimates
         # seconds without a report after which nothing is placed on a machine
-        self.suspect_s = max(SILENT_AFTER_REPORTS * settings.report_s, settings.lease_s * settings.knobs.suspect_after)
+        self.suspect_after_s = max(
+            SILENT_AFTER_REPORTS * settings.report_s, settings.lease_s * settings.knobs.suspect_after
+        )
 
     def is_silent(self, machine: Machine, now: float) -> bool:
         """Whether a machine's last report is so old that nothing should be placed on it; `now` is steady time."""
-        return now - machine.last_heartbeat > self.suspect_s
+        return now - machine.last_heartbeat > self.suspect_after_s
 
     def usable_machines(self, now: float, clock: float) -> dict[str, ScheduledMachine]:
         """The machines on which something may be placed, by name.
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -25,10 +25,10 @@
     GuaranteeBalance,
     TaskRequest,
     Value,
-    demands,
     is_reserved,
     largest_share,
     own_demand,
+    propagate_demands,
     value_of,
 )
 from tidebend.settings import Settings
@@ -79,7 +79,7 @@
                 estimate = self.estimates.corrected(job.spec)
                 own[name] = self._own_demand(job, estimate)
                 length[name] = self._step_s(job.spec, estimate)
-        self._demands = demands(own, length, after)
+        self._demands = propagate_demands(own, length, after)
 
     def request(self, job: Job, now: float, clock: float, zones: Collection[str] | None = None) -> TaskRequest | None:
         """The request for a job's pending tasks; None if none may start now.
@@ -254,9 +254,9 @@
         return spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values())
 
     def _avoided_machines(self, job: Job, is_crash_looping: bool, now: float) -> frozenset[str]:
-        return self.completions.machines_to_avoid(job, now) if is_crash_looping else self._know_the_attempt(job)
+        return self.completions.machines_to_avoid(job, now) if is_crash_looping else self._machines_with_attempt(job)
 
-    def _know_the_attempt(self, job: Job) -> frozenset[str]:
+    def _machines_with_attempt(self, job: Job) -> frozenset[str]:
         """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
         if job.spec.kind != "gang" or not job.allocations:
             return frozenset()
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -110,24 +110,24 @@
                 continue
             if with_victims is None:
                 with_victims = self._machines_with_victims(machines.values(), now)
-            self.make_room_for(request, rank, with_victims, now)
+            self.preempt_for(request, rank, with_victims, now)
 
-    def make_room_for(self, request: TaskRequest, rank: int, machines: list[MachineWithVictims], now: float) -> None:
+    def preempt_for(self, request: TaskRequest, rank: int, machines: list[MachineWithVictims], now: float) -> None:
         """Stop tasks for as many replicas as wait: one after the other they would be missed for long.
 
         `rank` is the request's priority as an index of `PRIORITIES`. Machines on which room is made are taken out of
         the list.
         """
         plans = self._stop_plans(request, rank, machines)
-        zone_room = {row.candidate.zone: request.zone_room(row.candidate.zone) for row in machines}
+        zone_headroom = {row.candidate.zone: request.zone_headroom(row.candidate.zone) for row in machines}
         used: set[int] = set()
         for plan in sorted(plans):
             candidate, machine, *_ = machines[plan.machine_index]
             if len(used) >= min(request.waiting, request.headroom):
                 break
-            if zone_room[candidate.zone] < 1:
+            if zone_headroom[candidate.zone] < 1:
                 continue
-            zone_room[candidate.zone] -= 1
+            zone_headroom[candidate.zone] -= 1
             used.add(plan.machine_index)
             self._stop(machine, plan, request)
         if used:
@@ -185,7 +185,7 @@
             kind = (candidate.type.name, candidate.zone, candidate.spot)
             if kind not in allowed:
                 allowed[kind] = allowed_on(request, candidate)
-            if not allowed[kind] or request.zone_room(candidate.zone) < 1:
+            if not allowed[kind] or request.zone_headroom(candidate.zone) < 1:
                 continue
             chosen = _cheapest(free, victims, need, rank)
             if chosen:
--- a/tidebend/scheduling/__init__.py
+++ b/tidebend/scheduling/__init__.py
@@ -7,16 +7,16 @@
     UNLIMITED_TASKS,
     Amount,
     add,
+    count_fitting_tasks,
     fits,
     largest_share,
     multiply,
     need_of,
     subtract,
-    times_fit,
 )
 from tidebend.scheduling.task_requests import CandidateMachine, GuaranteeBalance, Placement, TaskRequest, allowed_on
 from tidebend.scheduling.timeline import Timeline
-from tidebend.scheduling.value_functions import Demand, Value, demands, is_reserved, own_demand, value_of
+from tidebend.scheduling.value_functions import Demand, Value, is_reserved, own_demand, propagate_demands, value_of
 
 __all__ = [
     "EPSILON",
@@ -33,7 +33,7 @@
     "Value",
     "add",
     "allowed_on",
-    "demands",
+    "count_fitting_tasks",
     "fits",
     "is_reserved",
     "largest_share",
@@ -41,7 +41,7 @@
     "multiply",
     "need_of",
     "own_demand",
+    "propagate_demands",
     "subtract",
-    "times_fit",
     "value_of",
 ]
--- a/tidebend/scheduling/gang_placement.py
+++ b/tidebend/scheduling/gang_placement.py
@@ -50,7 +50,7 @@
     return [
         [machine for machine in machines if machine.zone == zone]
         for zone in sorted({machine.zone for machine in machines})
-        if request.zone_room(zone) > 0
+        if request.zone_headroom(zone) > 0
     ]
 
 
--- a/tidebend/scheduling/resources.py
+++ b/tidebend/scheduling/resources.py
@@ -42,7 +42,7 @@
     )
 
 
-def times_fit(free: Amount, need: Amount) -> int:
+def count_fitting_tasks(free: Amount, need: Amount) -> int:
     """How many tasks of that size fit; `UNLIMITED_TASKS` if they need nothing."""
     most = float(UNLIMITED_TASKS)
     amount = need[0]
--- a/tidebend/scheduling/slots.py
+++ b/tidebend/scheduling/slots.py
@@ -37,7 +37,7 @@
 
     Whether the request may be placed on the machine at all is for the caller to check (`allowed_on`).
     """
-    if request.zone_room(machine.zone) < 1:
+    if request.zone_headroom(machine.zone) < 1:
         return None
     length = machine.fetch_s(request.spec) + request.estimate
     need = need_of(request.spec)
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.scheduling.resources import UNLIMITED_TASKS, times_fit
+from tidebend.scheduling.resources import UNLIMITED_TASKS, count_fitting_tasks
 from tidebend.scheduling.timeline import Timeline
 from tidebend.scheduling.value_functions import Value
 
@@ -68,7 +68,7 @@
         """Whether the tasks have to start together; a gang of which one task waits is placed like an array."""
         return self.spec.kind == "gang" and self.waiting > 1
 
-    def zone_room(self, zone: str) -> int:
+    def zone_headroom(self, zone: str) -> int:
         """How many more tasks may be in that zone: `one_zone` and `spread` count the tasks that are allocated."""
         spec = self.spec
         if spec.one_zone and any(tasks and other != zone for other, tasks in self.tasks_by_zone.items()):
@@ -91,7 +91,7 @@
 
     def tasks(self, spec: JobSpec) -> int:
         """How many of the job's tasks are within the guarantee."""
-        return times_fit((self.cpus, self.gpus, 0.0), (spec.cpus, spec.gpus, 0.0))
+        return count_fitting_tasks((self.cpus, self.gpus, 0.0), (spec.cpus, spec.gpus, 0.0))
 
     def take(self, spec: JobSpec, tasks: int) -> None:
         """Deduct tasks that are placed."""
--- a/tidebend/scheduling/timeline.py
+++ b/tidebend/scheduling/timeline.py
@@ -5,7 +5,7 @@
 import math
 from bisect import bisect_right
 
-from tidebend.scheduling.resources import UNLIMITED_TASKS, Amount, fits, subtract, times_fit
+from tidebend.scheduling.resources import UNLIMITED_TASKS, Amount, count_fitting_tasks, fits, subtract
 
 
 class Timeline:
@@ -35,7 +35,7 @@
         for index in range(self._index(start), len(self.times)):
             if self.times[index] >= end:
                 break
-            most = min(most, times_fit(self.free[index], need))
+            most = min(most, count_fitting_tasks(self.free[index], need))
             if not most:
                 break
         return most
--- a/tidebend/scheduling/value_functions.py
+++ b/tidebend/scheduling/value_functions.py
@@ -58,7 +58,9 @@
         )
 
 
-def demands(own: dict[str, Demand], length: dict[str, float], after: dict[str, list[str]]) -> dict[str, Demand]:
+def propagate_demands(
+    own: dict[str, Demand], length: dict[str, float], after: dict[str, list[str]]
+) -> dict[str, Demand]:
     """Demands along the graph of jobs that need one another: the remaining critical path goes off each deadline.
 
     `own`: what jobs ask for by themselves; `length`: seconds that a job takes once it is ready; `after`: for each job
--- a/tidebend/scheduling/value_per_resource.py
+++ b/tidebend/scheduling/value_per_resource.py
@@ -156,7 +156,7 @@
         need = need_of(request.spec)
         tasks = min(
             self._state.placeable_tasks(request, within_guarantee),
-            request.zone_room(machine.zone),
+            request.zone_headroom(machine.zone),
             machine.timeline.room(slot.start, slot.finish, need),
         )
         if tasks < 1:
