--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -564,7 +564,7 @@
     evacuation.evacuate(silent, now - 1.0, now)
     assert given_up == [["vm-000100"]]
     worth = first.settings.knobs.keep_idle * (10.0 + 20.0)  # the stand-in's boot and fetch
-    evacuation._next_turn_at = now  # its next turn
+    evacuation._next_step_at = now  # its next turn
     evacuation.evacuate(silent, now - worth - 1.0, now)
     assert given_up[1] == ["vm-000100", "vm-000101"]
 
--- a/tidebend/controller/autoscaling/zone_evacuation.py
+++ b/tidebend/controller/autoscaling/zone_evacuation.py
@@ -49,7 +49,7 @@
         self._machine_types = machine_types
         self._releaser = releaser
         self._turn_s = max(check_interval_s, 1.0 / (CALLS_SHARE * settings.cloud_rps))
-        self._next_turn_at = -math.inf  # steady time
+        self._next_step_at = -math.inf  # steady time
 
     def isolated_until(self, shard: str) -> float | None:
         """Until when (steady time) an isolated zone's controller may act at the latest; None if none does.
@@ -77,8 +77,8 @@
             for name, since in unresponsive.items()
             if now - since > self._settings.lease_s and has_cancelled_work(self._job_cache, name)
         ]
-        if now >= self._next_turn_at:
-            self._next_turn_at = now + self._turn_s
+        if now >= self._next_step_at:
+            self._next_step_at = now + self._turn_s
             contents = [self._contents(name, now) for name in unresponsive]
             due += machines_to_evacuate(contents, self._isolation_window(until), now, self._turn_s)
         if due:
