--- a/simulation/search.py
+++ b/simulation/search.py
@@ -554,7 +554,7 @@
     def settle(self):
         honest(self)
         grants = {grant.shard: grant for grant in self.coordinator.grants()}
-        for job in self.job_cache.live():
+        for job in self.job_cache.live_jobs():
             for claim in job.allocations if job.cancelled else ():
                 machine = self.machine_registry.machines.get(claim.machine)
                 grant = grants.get(shard_of(claim.zone))
@@ -579,7 +579,7 @@
 
     def any_ends(self, machine, grant, ends):
         ends_on(self, machine, grant, ends)
-        for job, claim in self.job_cache.on_machine(machine.name):
+        for job, claim in self.job_cache.allocations_on(machine.name):
             if claim.session != machine.session:
                 end = ends.setdefault(job.id, UnrecordedCompletions())
                 end.ended[claim.machine, claim.session, claim.attempt] = claim.tasks
--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -221,7 +221,9 @@
                 world.user("cancel", "req-a", chance.choice(world.nodes))
             else:
                 controller.job_writer.change(
-                    "req-a", lambda job, _, ended=ended, done=done: job.without_tasks(ended, done & job.all_tasks), {}
+                    "req-a",
+                    lambda job, _, ended=ended, done=done: job.with_ended_tasks(ended, done & job.all_tasks),
+                    {},
                 )
         world.now = world.steady = round(world.now + 0.5, 6)
         world.carry_out_late()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -98,7 +98,7 @@
             *[getattr(usage.with_tasks_allocated(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
         ):
             return None
-        return job.with_allocations([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation(machine, 1, job.last_attempt + 1, free, 0.0, "north")])
 
     return controller.job_writer.change(name, edit, conditions or {})
 
@@ -142,7 +142,7 @@
     places = first.scheduling_loop.free_capacity.usable_machines(now, time.time())
     name = next(name for name, scheduled in places.items() if scheduled.candidate.zone == "north")
     first.scheduling_loop.allocator.allocate({"a": [Placement("a", name, 2, now, now + 1, True)]}, places)
-    assert first.job_cache.get("a").per_zone() == {"north": 1}
+    assert first.job_cache.get("a").allocated_by_zone() == {"north": 1}
 
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
@@ -170,7 +170,7 @@
     machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False)}
     machine.needs_reconciliation, confirmed = True, machine.token
     machine.token = confirmed - 1
-    first.scheduling_loop.completions.recorder.gather_s = 0.0
+    first.scheduling_loop.completions.recorder.batch_delay_s = 0.0
     first.scheduling_loop.mapping_event()
     assert first.job_cache.get("a").allocations
     machine.token = confirmed
@@ -275,7 +275,7 @@
     allocations = tuple(
         Allocation(f"vm-{n:06d}", 1, 1 + n // 40, 0b1111 << 4 * n, 1e9 + n // 40, "palermo") for n in range(150)
     )
-    job = Job("req-a", 1, spec(pieces=600), 0.0, allocations=allocations, started=4)
+    job = Job("req-a", 1, spec(pieces=600), 0.0, allocations=allocations, last_attempt=4)
     assert packed_bytes(job.pack()) < 0.75 * 8192
     assert Job.unpack("req-a", json.loads(json.dumps(job.pack())), 1) == job
 
@@ -307,7 +307,7 @@
             "a", lambda job, _, ended=ended: first.scheduling_loop.completions.job_with_completions(job, _, ended), {}
         )
     after = first.job_cache.get("a")
-    assert (after.done, after.charged, after.started) == (done, job.charged, job.started)
+    assert (after.done, after.charged, after.last_attempt) == (done, job.charged, job.last_attempt)
     second.cache.catch_up(0.0, "claim")
     assert replace(second.job_cache.get("a"), chunks=None) == replace(after, chunks=None)
     # cancelled, its parts go first and the team's record is as if it had never been
@@ -325,7 +325,7 @@
     world.state.limits["value_kb"], first.record_limits.max_value_bytes = 1.0, 1024
 
     def edit(job, usage):
-        return job.with_allocations([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000000", 1, job.last_attempt + 1, 1, 0.0, "north")])
 
     assert list(first.job_writer.change_all([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
     assert not first.job_cache.get("a").allocations
@@ -342,7 +342,7 @@
             assert allocation(second, "a", "vm-000001", 0b10) is not None
             first.cache.catch_up(0.0, "claim")
         free = job.pending & 0b110
-        return job.with_allocations([Allocation("vm-000002", 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000002", 1, job.last_attempt + 1, free, 0.0, "north")])
 
     assert first.job_writer.change("a", edit, {})
     held = {allocation.machine: allocation.tasks for allocation in first.job_cache.get("a").allocations}
@@ -357,13 +357,13 @@
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks(ended, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks(ended, 1), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 8.0)
     second.cache.catch_up(0.0, "claim")
     assert allocation(second, "b", "vm-000001", 3) is None  # only one more fits
     assert allocation(second, "b", "vm-000001", 1) is not None
     first.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 2}, 2), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 2}, 2), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 4.0)
     second.cache.catch_up(0.0, "claim")
     assert second.job_cache.team("team").cpus == 4.0
@@ -373,7 +373,7 @@
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     second.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 1), {})
     assert second.job_cache.team("team").cpus == 8.0
     assert allocation(second, "b", "vm-000001", 1) is None
 
@@ -413,7 +413,7 @@
             usage.with_tasks_allocated(job.spec, wanted.bit_count()).cpus, 0.0
         ):
             return None
-        return job.with_allocations([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
+        return job.with_allocations([Allocation(f"vm-{zone}", 1, job.last_attempt + 1, wanted, 0.0, zone)])
 
     return controller.job_writer.change(name, edit, dict([controller.coordinator.condition(grant)]))
 
@@ -482,7 +482,7 @@
     team's usage look smaller than it is."""
     first, second = stale_pair(old_world, a=spec(), b=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 0), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
 
     def paged(prefix, after):
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -136,7 +136,7 @@
         assert failed < 0.3, (changes, failed)
         for controller in world.controllers.values():
             assert len(controller.job_cache.jobs) < 3
-            assert not controller.job_cache.machines() - world.workers.keys()
+            assert not controller.job_cache.machines_with_allocations() - world.workers.keys()
             # no request is under way between steps, so that nothing but the newest read's deletions is kept
             assert len(controller.cache._tombstones) <= 20, len(controller.cache._tombstones)
             assert len(controller.scheduling_loop.claim_stagger._since) < 3
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -40,21 +40,21 @@
     depth = 3000
     job_cache = book_of({f"req-{n}": [f"req-{n - 1}"] if n else [] for n in range(depth)})
     final(job_cache, "req-0", "cancelled")
-    assert all(job_cache.final(f"req-{n}") == "cancelled" for n in range(depth))
+    assert all(job_cache.final_state(f"req-{n}") == "cancelled" for n in range(depth))
     assert job_cache.looked_at <= depth
 
 
 def test_hundreds_of_waiting_jobs_cost_nothing_while_they_wait_and_one_look_when_they_may_start():
     wide = 400
     job_cache = book_of({"req-0": [], **{f"req-{n}": ["req-0"] for n in range(1, wide)}})
-    claimed = Job("req-0", 0, SPEC, 100.0, started=1)
+    claimed = Job("req-0", 0, SPEC, 100.0, last_attempt=1)
     job_cache.on_change(JOB + "req-0", claimed.pack(), 5000)
     assert job_cache.looked_at == 1  # the others aren't looked at when what they wait for goes on
-    assert [job.id for job in job_cache.live() if job.pending] == ["req-0"]
+    assert [job.id for job in job_cache.live_jobs() if job.pending] == ["req-0"]
     job_cache.on_change(JOB + "req-0", None, 5001)
     final(job_cache, "req-0", "done", 130.0)
     assert job_cache.looked_at <= wide
-    assert all(job.pending and job.startable_since == 130.0 for job in job_cache.live())
+    assert all(job.pending and job.startable_since == 130.0 for job in job_cache.live_jobs())
 
 
 def test_a_diamond_waits_for_both_sides_and_readiness_is_the_last_of_them():
@@ -77,12 +77,12 @@
 
 def test_what_is_over_and_unknown_is_asked_for_and_holds_what_needs_it_until_then():
     job_cache = book_of({"req-b": ["req-a"], "req-c": ["req-b"]})  # after a restart: req-a ended before
-    assert job_cache.unresolved() == job_cache.unresolved("req-c") == ["req-a"]
+    assert job_cache.missing_final_states() == job_cache.missing_final_states("req-c") == ["req-a"]
     assert job_cache.get("req-c").blocked
-    assert job_cache.final("req-c") is None
+    assert job_cache.final_state("req-c") is None
     final(job_cache, "req-a", "cancelled")
-    assert job_cache.unresolved() == []
-    assert job_cache.final("req-c") == "cancelled"
+    assert job_cache.missing_final_states() == []
+    assert job_cache.final_state("req-c") == "cancelled"
 
 
 def test_finals_that_are_needed_outlive_the_cache_of_finals():
@@ -90,8 +90,8 @@
     final(job_cache, "req-a", "cancelled")
     for n in range(50):
         final(job_cache, f"req-n{n}", "done")
-    assert job_cache.final("req-b") == "cancelled"
-    assert job_cache.unresolved() == ["req-z"]
+    assert job_cache.final_state("req-b") == "cancelled"
+    assert job_cache.missing_final_states() == ["req-z"]
 
 
 def test_deadline_and_priority_of_the_last_job_reach_all_that_it_needs_less_the_critical_path():
--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tidebend.autoscaling import Capacity, Offer, plan_provisioning
-from tidebend.cluster_state.task_bitmap import from_text, lowest, to_text
+from tidebend.cluster_state.task_bitmap import format_ranges, lowest_bits, parse_ranges
 from tidebend.protocol import JobSpec, MachineType
 from tidebend.scheduling import (
     CandidateMachine,
@@ -137,11 +137,11 @@
 
 
 def test_task_sets():
-    mask = from_text("0-3,7,9-10")
-    assert to_text(mask) == "0-3,7,9-10"
-    assert to_text(lowest(mask, 3)) == "0-2"
-    assert to_text(from_text("0-99999")) == "0-99999"
-    assert math.log2(from_text("5")) == 5
+    mask = parse_ranges("0-3,7,9-10")
+    assert format_ranges(mask) == "0-3,7,9-10"
+    assert format_ranges(lowest_bits(mask, 3)) == "0-2"
+    assert format_ranges(parse_ranges("0-99999")) == "0-99999"
+    assert math.log2(parse_ranges("5")) == 5
 
 
 def plain(wants, places, now, horizon):
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -19,7 +19,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD, JOB, Job
 from tidebend.cluster_state.record_chunks import CHUNK, Chunk, ChunkIndex
-from tidebend.cluster_state.task_bitmap import from_text
+from tidebend.cluster_state.task_bitmap import parse_ranges
 from tidebend.coordination.records import LEADER, NODE, SHARD, ZONE
 from tidebend.coordination.schema_version import FORMAT, READS
 from tidebend.kvclient import FINAL
@@ -65,13 +65,13 @@
             before = replace(job, done=done)
             assert before.needs_sealing
             written = as_stored(before.pack())
-            assert from_text(written["done"]) == done | 1 << job.spec.tasks
+            assert parse_ranges(written["done"]) == done | 1 << job.spec.tasks
             assert Job.unpack("req-a", written, 7) == replace(before, cancellation_sealed=True)
             assert not Job.unpack("req-a", written, 7).needs_sealing
             assert as_stored(Job.unpack("req-a", written, 7).pack()) == written
-            assert from_text(replace(before, cancelled=False).pack().get("done", "")) == done
+            assert parse_ranges(replace(before, cancelled=False).pack().get("done", "")) == done
             waited = replace(before, dependencies_done_at=1.0)
-            assert from_text(waited.pack().get("done", "")) == done
+            assert parse_ranges(waited.pack().get("done", "")) == done
 
 
 def test_chunks_are_written_back_as_they_were():
@@ -119,17 +119,17 @@
     usages = {" ".join(zones): cache.team("team", zones) for zones in ((), ("north",), ("south", "west"))}
     return as_stored(
         {
-            "jobs": {job.id: view_of_job(job) for job in cache.live()},
-            "finals": {name: cache.final(name) for name in names},
-            "dependents": {name: sorted(rows) for name, rows in cache.dependents().items()},
-            "unresolved": cache.unresolved(),
+            "jobs": {job.id: view_of_job(job) for job in cache.live_jobs()},
+            "finals": {name: cache.final_state(name) for name in names},
+            "dependents": {name: sorted(rows) for name, rows in cache.dependents_by_job().items()},
+            "unresolved": cache.missing_final_states(),
             "machines": {
-                machine: [[job.id, f"{allocation.tasks:x}"] for job, allocation in cache.on_machine(machine)]
-                for machine in sorted(cache.machines())
+                machine: [[job.id, f"{allocation.tasks:x}"] for job, allocation in cache.allocations_on(machine)]
+                for machine in sorted(cache.machines_with_allocations())
             },
             "team": {zones: [usage.cpus, usage.gpus, usage.version, usage.charged] for zones, usage in usages.items()},
             "used": {zone: cache.used("team", (zone,)) for zone in ZONES},
-            "chunk_versions": {job.id: cache.chunk_versions(job.id) for job in cache.live()},
+            "chunk_versions": {job.id: cache.chunk_versions(job.id) for job in cache.live_jobs()},
         }
     )
 
@@ -139,8 +139,8 @@
         "key": job.key,
         "pending": f"{job.pending:x}",
         "done": f"{job.done:x}",
-        "started": job.started,
-        "ended": job.ended,
+        "started": job.last_attempt,
+        "ended": job.ended_count,
         "charged": job.charged,
         "startable_since": job.startable_since,
         "blocked": job.blocked,
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -26,7 +26,7 @@
 
 
 def ending(tasks):
-    return lambda job, _: job.without_tasks({("vm-north", 1, 1): tasks}, tasks)
+    return lambda job, _: job.with_ended_tasks({("vm-north", 1, 1): tasks}, tasks)
 
 
 def claiming(controller, tasks):
@@ -35,7 +35,7 @@
     def edit(job, usage):
         if not limit.allows(usage.with_tasks_allocated(job.spec, tasks.bit_count()).cpus, 0.0):
             return None
-        return job.with_allocations([Allocation("vm-north", 1, job.started + 1, tasks, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-north", 1, job.last_attempt + 1, tasks, 0.0, "north")])
 
     return edit
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -54,10 +54,10 @@
     job_cache = JobCache(threading.RLock(), 10)
     for version, (key, value) in enumerate(SAMPLES["items"].items(), 1):
         job_cache.on_change(key, value, version)
-    ended = sum(job.ended * job.spec.cpus for job in job_cache.live())
+    ended = sum(job.ended_count * job.spec.cpus for job in job_cache.live_jobs())
     assert job_cache.team("team").cpus == pytest.approx(SAMPLES["items"]["tidebend/live/team/team"][0] - ended)
-    assert job_cache.final("req-a") == "done"
-    assert job_cache.final("req-c") == "cancelled"
+    assert job_cache.final_state("req-a") == "done"
+    assert job_cache.final_state("req-c") == "cancelled"
     assert unpack_final(pack_final("done", 5.0, plain=True)) == ("done", 0.0)
     assert pack_final("done", 5.0, plain=True) == SAMPLES["items"]["tidebend/final/req-a"]
     assert unpack_final(pack_final("done", 5.0, plain=False)) == ("done", 5.0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -83,7 +83,7 @@
     for job in (Job("s", 0, made, 0.0), in_parts(made, "s")):
         left = without_lost_zones(job.with_allocations(allocations), {"north"})
         assert left.pending == 0b1101
-        assert left.per_zone() == {"south": 1}
+        assert left.allocated_by_zone() == {"south": 1}
         assert without_lost_zones(job.with_allocations(allocations), {"west"}) is None
 
 
--- a/tidebend/cluster_state/allocation_index.py
+++ b/tidebend/cluster_state/allocation_index.py
@@ -29,10 +29,10 @@
             if not jobs:
                 del self._by_machine[allocation.machine]
 
-    def on_machine(self, machine: str) -> list[tuple[Job, Allocation]]:
+    def allocations_on(self, machine: str) -> list[tuple[Job, Allocation]]:
         """Return the allocations on a machine, each with its job."""
         return [pair for pairs in self._by_machine.get(machine, {}).values() for pair in pairs]
 
-    def machines(self) -> set[str]:
+    def machines_with_allocations(self) -> set[str]:
         """Return the names of the machines with allocations."""
         return set(self._by_machine)
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tidebend.cluster_state.task_bitmap import from_text, to_text
+from tidebend.cluster_state.task_bitmap import format_ranges, parse_ranges
 
 # allocations that share a session, an attempt, a time and a zone are stored as one group
 _GroupKey = tuple[int, int, float, str]
@@ -37,14 +37,14 @@
     for allocation in allocations:
         group = (allocation.session, allocation.attempt, round(allocation.allocated_at, 1), allocation.zone)
         rows = groups.setdefault(group, [])
-        rows += (allocation.machine, to_text(allocation.tasks))
+        rows += (allocation.machine, format_ranges(allocation.tasks))
     return [[*group, rows] for group, rows in groups.items()]
 
 
 def unpack_allocations(groups: Iterable[list[Any]]) -> tuple[Allocation, ...]:
     """Read what `pack_allocations` wrote; raises ValueError for a malformed group."""
     return tuple(
-        Allocation(machine, session, attempt, from_text(tasks), at, zone)
+        Allocation(machine, session, attempt, parse_ranges(tasks), at, zone)
         for session, attempt, at, zone, rows in groups
         for machine, tasks in zip(rows[::2], rows[1::2], strict=True)
     )
--- a/tidebend/cluster_state/chunked_jobs.py
+++ b/tidebend/cluster_state/chunked_jobs.py
@@ -9,7 +9,7 @@
 from tidebend.cluster_state.allocations import Allocation, restrict_to
 from tidebend.cluster_state.job_state import JobState
 from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
         rows = tuple((number, known[number]) for number in sorted(known) if index.opened >> number & 1)
         done = 0
         if not self.cancelled:  # the closed chunks of a cancelled job need not be done
-            for number in members(index.closed):
+            for number in set_bits(index.closed):
                 done |= index.mask(number)
         allocations: tuple[Allocation, ...] = ()
         for _, chunk in rows:
@@ -36,8 +36,8 @@
             chunks=replace(index, rows=rows),
             done=done & self.all_tasks,
             allocations=allocations,
-            started=max([index.started, *(chunk.started for _, chunk in rows)]),
-            ended=index.ended + sum(chunk.ended for _, chunk in rows),
+            last_attempt=max([index.last_attempt, *(chunk.last_attempt for _, chunk in rows)]),
+            ended_count=index.ended_count + sum(chunk.ended_count for _, chunk in rows),
         )
 
     def changed_chunks(self, before: JobState) -> list[int]:
@@ -55,12 +55,12 @@
         left = {
             (allocation.machine, allocation.session, allocation.attempt): allocation.tasks for allocation in allocations
         }
-        ended = sum(
+        ended_count = sum(
             (allocation.tasks & ~left.get((allocation.machine, allocation.session, allocation.attempt), 0)).bit_count()
             for allocation in old.allocations
         )
-        started = max([old.started, *(allocation.attempt for allocation in allocations)])
-        return Chunk(old.version, started, old.ended + ended, self.done & mask, allocations)
+        last_attempt = max([old.last_attempt, *(allocation.attempt for allocation in allocations)])
+        return Chunk(old.version, last_attempt, old.ended_count + ended_count, self.done & mask, allocations)
 
     def chunk_is_finished(self, number: int, chunk: Chunk) -> bool:
         """Whether a chunk needs no record any more: nothing is allocated, and nothing is left to be."""
@@ -82,8 +82,8 @@
                 index,
                 opened=index.opened & ~bits,
                 closed=index.closed | bits,
-                ended=index.ended + sum(chunk.ended for chunk in closed),
-                started=max([index.started, *(chunk.started for chunk in closed)]),
+                ended_count=index.ended_count + sum(chunk.ended_count for chunk in closed),
+                last_attempt=max([index.last_attempt, *(chunk.last_attempt for chunk in closed)]),
                 rows=tuple(row for row in index.rows if row[0] not in numbers),
             ),
         )
--- a/tidebend/cluster_state/dependency_graph.py
+++ b/tidebend/cluster_state/dependency_graph.py
@@ -46,7 +46,7 @@
         self._needed_finals[name] = final
         return list(self._dependents[name])
 
-    def final(self, name: str) -> FinalState | None:
+    def final_state(self, name: str) -> FinalState | None:
         """Return how a job has ended, if it has and that is known."""
         return self._needed_finals.get(name) or self._recent_finals.get(name)
 
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -125,7 +125,7 @@
 
     def _outcome(self, name: str) -> FinalState | None:
         """Return how a job has ended or, by a cancellation, is bound to end; None if that is open or unknown."""
-        final = self._dependencies.final(name)
+        final = self._dependencies.final_state(name)
         if final is None:
             job = self.jobs.get(name)
             if job is not None and job.cancelled:
@@ -172,14 +172,14 @@
         if job.needs_sealing:
             self._unsealed[job.id] = None
         self._allocations.add(job)
-        self._usage.count_ended(job.spec, job.ended)
+        self._usage.count_ended(job.spec, job.ended_count)
         for allocation in job.allocations:
             self._usage.count_allocated(job.spec, allocation.zone, allocation.tasks.bit_count())
 
     def _remove_from_indexes(self, job: Job) -> None:
         self._unsealed.pop(job.id, None)
         self._allocations.remove(job)
-        self._usage.count_ended(job.spec, -job.ended)
+        self._usage.count_ended(job.spec, -job.ended_count)
         for allocation in job.allocations:
             self._usage.count_allocated(job.spec, allocation.zone, -allocation.tasks.bit_count())
 
@@ -190,7 +190,7 @@
         with self.lock:
             return self.jobs.get(name)
 
-    def live(self) -> list[Job]:
+    def live_jobs(self) -> list[Job]:
         """Return all live jobs."""
         with self.lock:
             return list(self.jobs.values())
@@ -200,7 +200,7 @@
         with self.lock:
             return list(self._unsealed)
 
-    def final(self, name: str) -> str | None:
+    def final_state(self, name: str) -> str | None:
         """Return `done` or `cancelled` if that is known to be the job's final state, also while it still lives."""
         with self.lock:
             outcome = self._outcome(name)
@@ -218,12 +218,12 @@
 
     # Dependencies
 
-    def dependents(self) -> dict[str, list[str]]:
+    def dependents_by_job(self) -> dict[str, list[str]]:
         """Return for each job that live ones depend on: those."""
         with self.lock:
             return self._dependencies.dependents_by_job()
 
-    def unresolved(self, name: str | None = None) -> list[str]:
+    def missing_final_states(self, name: str | None = None) -> list[str]:
         """Return jobs that others depend on and that have ended, but of which it isn't known how.
 
         With a name only those that this job depends on, directly or through others.
@@ -231,9 +231,9 @@
         with self.lock:
             if name is None:
                 return [other for other in self._dependencies.dependencies_without_final() if other not in self._heads]
-            return self._unresolved_of(name)
+            return self._missing_final_states_of(name)
 
-    def _unresolved_of(self, name: str) -> list[str]:
+    def _missing_final_states_of(self, name: str) -> list[str]:
         found: list[str] = []
         seen = {name}
         left = [name]
@@ -265,12 +265,12 @@
 
     # Machines
 
-    def on_machine(self, machine: str) -> list[tuple[Job, Allocation]]:
+    def allocations_on(self, machine: str) -> list[tuple[Job, Allocation]]:
         """Return the allocations on a machine, each with its job."""
         with self.lock:
-            return self._allocations.on_machine(machine)
+            return self._allocations.allocations_on(machine)
 
-    def machines(self) -> set[str]:
+    def machines_with_allocations(self) -> set[str]:
         """Return the names of the machines with allocations."""
         with self.lock:
-            return self._allocations.machines()
+            return self._allocations.machines_with_allocations()
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.allocations import pack_allocations, unpack_allocations
 from tidebend.cluster_state.chunked_jobs import ChunkedJob
 from tidebend.cluster_state.record_chunks import ChunkIndex
-from tidebend.cluster_state.task_bitmap import from_text, to_text
+from tidebend.cluster_state.task_bitmap import format_ranges, parse_ranges
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
 
@@ -62,13 +62,13 @@
         return value
 
     def _pack_progress(self, value: dict[str, Any]) -> None:
-        if self.started:
-            value["started"] = self.started
-        if self.ended:
-            value["ended"] = self.ended
+        if self.last_attempt:
+            value["started"] = self.last_attempt
+        if self.ended_count:
+            value["ended"] = self.ended_count
         sealing_bit = self._sealing_bit if self.cancelled and self.key.startswith(JOB) else 0
         if self.done or sealing_bit:
-            value["done"] = to_text(self.done | sealing_bit)
+            value["done"] = format_ranges(self.done | sealing_bit)
         if self.allocations:
             value["claims"] = pack_allocations(self.allocations)
 
@@ -84,9 +84,9 @@
             spec=JobSpec.unpack(value["spec"]),
             submitted=value["at"],
             cancelled=bool(value.get("cancelled")),
-            started=value.get("started", 0),
-            ended=value.get("ended", 0),
-            done=from_text(value.get("done", "")),
+            last_attempt=value.get("started", 0),
+            ended_count=value.get("ended", 0),
+            done=parse_ranges(value.get("done", "")),
             allocations=unpack_allocations(value.get("claims", ())),
             dependencies=tuple(value.get("awaits", ())),
             dependencies_done_at=value.get("ready"),
--- a/tidebend/cluster_state/job_state.py
+++ b/tidebend/cluster_state/job_state.py
@@ -9,7 +9,7 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.keys import AllocationKey
 from tidebend.cluster_state.record_chunks import ChunkIndex
-from tidebend.cluster_state.task_bitmap import interval
+from tidebend.cluster_state.task_bitmap import bit_range
 from tidebend.protocol import JobSpec
 
 
@@ -27,8 +27,8 @@
     submitted: float
     cancelled: bool = False
     cancellation_sealed: bool = False  # no version may record the job as done any more: see `Job`
-    started: int = 0  # allocation events so far; numbers the attempts
-    ended: int = 0  # tasks of allocations that have ended; only grows
+    last_attempt: int = 0  # allocation events so far; numbers the attempts
+    ended_count: int = 0  # tasks of allocations that have ended; only grows
     done: int = 0  # bitmap
     allocations: tuple[Allocation, ...] = ()
     dependencies: tuple[str, ...] = ()  # jobs that must be done first; empty once the first allocation is recorded
@@ -47,7 +47,7 @@
     @property
     def all_tasks(self) -> int:
         """The bitmap of all tasks."""
-        return interval(0, self.spec.tasks - 1)
+        return bit_range(0, self.spec.tasks - 1)
 
     @property
     def pending(self) -> int:
@@ -72,9 +72,9 @@
     @property
     def charged(self) -> int:
         """The number of tasks that the team's record counts for this job: all that were ever allocated."""
-        return self.ended + self.allocated_count
+        return self.ended_count + self.allocated_count
 
-    def per_zone(self) -> dict[str, int]:
+    def allocated_by_zone(self) -> dict[str, int]:
         """Return the number of allocated tasks by zone."""
         zones: dict[str, int] = {}
         for allocation in self.allocations:
@@ -95,7 +95,9 @@
 
     def with_allocations(self, added: Iterable[Allocation]) -> Self:
         """Return the job after an allocation event; its dependencies are done by then, and dropped."""
-        return replace(self, allocations=self.allocations + tuple(added), started=self.started + 1, dependencies=())
+        return replace(
+            self, allocations=self.allocations + tuple(added), last_attempt=self.last_attempt + 1, dependencies=()
+        )
 
     def with_cancellation(self) -> Self:
         """Return the job as it is once its cancellation is recorded."""
@@ -105,7 +107,7 @@
         """Return the job as it is once the last of its dependencies is done."""
         return replace(self, blocked=False, dependencies_done_at=at)
 
-    def without_tasks(self, ended: Mapping[AllocationKey, int], done: int) -> Self:
+    def with_ended_tasks(self, ended: Mapping[AllocationKey, int], done: int) -> Self:
         """Return the job without the tasks of allocations that have ended, those in the bitmap `done` being done."""
         left = []
         for allocation in self.allocations:
@@ -115,4 +117,4 @@
             elif allocation.tasks & ~removed:
                 left.append(replace(allocation, tasks=allocation.tasks & ~removed))
         new = replace(self, allocations=tuple(left), done=self.done | done)
-        return replace(new, ended=self.ended + self.allocated_count - new.allocated_count)
+        return replace(new, ended_count=self.ended_count + self.allocated_count - new.allocated_count)
--- a/tidebend/cluster_state/machine.py
+++ b/tidebend/cluster_state/machine.py
@@ -25,7 +25,7 @@
     session: int = 0  # of the worker; it grows with each start of the worker
     sequence: int = 0  # of the newest report within the session
     token: int = 0  # the highest fencing token that the worker has confirmed
-    notice_at: float | None = None  # when the cloud provider takes the machine, if it has said so
+    reclaim_at: float | None = None  # when the cloud provider takes the machine, if it has said so
     last_heartbeat: float = 0.0
     first_heartbeat: float = 0.0
     last_direct_answer: float = 0.0  # the last answer to direct commands
@@ -88,7 +88,7 @@
     def _apply_state(self, report: Report, now: float) -> None:
         self.session, self.sequence, self.token = report.session, report.sequence, report.token
         self.address = report.address or self.address
-        self.notice_at = None if report.notice_s is None else now + report.notice_s
+        self.reclaim_at = None if report.notice_s is None else now + report.notice_s
         self.needs_reconciliation = True
         self.tasks = {(task.job, task.index, task.attempt): task for task in report.tasks}
         for key, task in self.tasks.items():
@@ -114,7 +114,7 @@
             return False
         return self.tasks[key].why == "done" or not self.starts.may_be_repeated(key, self.token)
 
-    def uses_image(self, image: str, gb: float, cache_gb: float) -> None:
+    def record_image_use(self, image: str, gb: float, cache_gb: float) -> None:
         """Note the use of an image, and remove those used longest ago from a cache of `cache_gb`."""
         self.images[image] = gb
         self.images.move_to_end(image)
--- a/tidebend/cluster_state/reconciliation.py
+++ b/tidebend/cluster_state/reconciliation.py
@@ -11,7 +11,7 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.protocol import Command, TaskReport
 
 Allocations = list[tuple[Job, Allocation]]  # those on one machine, each with its job
@@ -27,7 +27,7 @@
         Command("stop", job.id, index, allocation.attempt, 0.0)
         for job, allocation in allocations
         if job.cancelled and allocation.session == machine.session
-        for index in members(allocation.tasks)
+        for index in set_bits(allocation.tasks)
         if (task := machine.tasks.get((job.id, index, allocation.attempt))) is not None and task.state != "ended"
     ]
 
@@ -57,7 +57,7 @@
     machine: Machine, job: Job, allocation: Allocation, commands: list[Command], allocated: set[TaskKey]
 ) -> None:
     may_start = not job.cancelled and not machine.releasing
-    for index in members(allocation.tasks):
+    for index in set_bits(allocation.tasks):
         key = (job.id, index, allocation.attempt)
         allocated.add(key)
         task = machine.tasks.get(key)
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from tidebend.cluster_state.allocations import Allocation, pack_allocations, shift_tasks, unpack_allocations
-from tidebend.cluster_state.task_bitmap import from_text, interval, to_text
+from tidebend.cluster_state.task_bitmap import bit_range, format_ranges, parse_ranges
 from tidebend.kvclient import LIVE
 
 # key prefix of chunks
@@ -32,17 +32,17 @@
     """A chunk; tasks are numbered within the job here, and from the first of the chunk in the record."""
 
     version: int = 0  # of its record; 0 if there is none yet
-    started: int = 0  # the highest attempt so far
-    ended: int = 0  # tasks of allocations that have ended
+    last_attempt: int = 0  # the highest attempt so far
+    ended_count: int = 0  # tasks of allocations that have ended
     done: int = 0  # bitmap
     allocations: tuple[Allocation, ...] = ()
     source: int = 0  # the version of the job's record from which it was split, 0 once it has been changed
 
     def pack(self, first: int) -> dict[str, Any]:
         """Return the record; `first` is the number of the chunk's first task."""
-        value: dict[str, Any] = {"started": self.started, "ended": self.ended}
+        value: dict[str, Any] = {"started": self.last_attempt, "ended": self.ended_count}
         if self.done:
-            value["done"] = to_text(self.done >> first)
+            value["done"] = format_ranges(self.done >> first)
         if self.allocations:
             value["claims"] = pack_allocations(shift_tasks(self.allocations, -first))
         if self.source:
@@ -54,9 +54,9 @@
         """Read a record of this version; `first` is the number of the chunk's first task."""
         return Chunk(
             version=version,
-            started=value["started"],
-            ended=value["ended"],
-            done=from_text(value.get("done", "")) << first,
+            last_attempt=value["started"],
+            ended_count=value["ended"],
+            done=parse_ranges(value.get("done", "")) << first,
             allocations=tuple(shift_tasks(unpack_allocations(value.get("claims", ())), first)),
             source=value.get("source", 0),
         )
@@ -69,13 +69,13 @@
     size: int  # tasks in a chunk
     opened: int = 0  # bitmap of the chunks that have a record
     closed: int = 0  # bitmap of the chunks that need no record any more
-    ended: int = 0  # tasks of allocations in closed chunks, all of which have ended
-    started: int = 0  # the highest attempt in chunks without a record
+    ended_count: int = 0  # tasks of allocations in closed chunks, all of which have ended
+    last_attempt: int = 0  # the highest attempt in chunks without a record
     rows: tuple[tuple[int, Chunk], ...] = ()  # number and chunk, in ascending order
 
     def mask(self, number: int) -> int:
         """Return the bitmap of a chunk's tasks; of the last chunk it may go beyond the job's last task."""
-        return interval(number * self.size, (number + 1) * self.size - 1)
+        return bit_range(number * self.size, (number + 1) * self.size - 1)
 
     def numbers(self, tasks: int) -> list[int]:
         """Return the numbers of the chunks that some of these tasks lie in."""
@@ -88,7 +88,7 @@
 
     def pack(self) -> list[Any]:
         """Return the form in the head's record: size, open and closed chunks in hexadecimal, ended, started."""
-        return [self.size, f"{self.opened:x}", f"{self.closed:x}", self.ended, self.started]
+        return [self.size, f"{self.opened:x}", f"{self.closed:x}", self.ended_count, self.last_attempt]
 
     @staticmethod
     def unpack(row: list[Any]) -> ChunkIndex:
--- a/tidebend/cluster_state/task_bitmap.py
+++ b/tidebend/cluster_state/task_bitmap.py
@@ -5,12 +5,12 @@
 from collections.abc import Iterator
 
 
-def interval(first: int, last: int) -> int:
+def bit_range(first: int, last: int) -> int:
     """Return the bitmap of the numbers from `first` to `last`, both included."""
     return ((1 << (last - first + 1)) - 1) << first
 
 
-def to_text(mask: int) -> str:
+def format_ranges(mask: int) -> str:
     """Return the form in records: ascending numbers and ranges, separated by commas; empty for no tasks."""
     ranges = []
     base = 0
@@ -25,16 +25,16 @@
     return ",".join(ranges)
 
 
-def from_text(text: str) -> int:
-    """Read what `to_text` wrote; raises ValueError for anything but numbers and ranges."""
+def parse_ranges(text: str) -> int:
+    """Read what `format_ranges` wrote; raises ValueError for anything but numbers and ranges."""
     mask = 0
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
-        mask |= interval(int(first), int(last or first))
+        mask |= bit_range(int(first), int(last or first))
     return mask
 
 
-def members(mask: int) -> Iterator[int]:
+def set_bits(mask: int) -> Iterator[int]:
     """Yield the task numbers in ascending order."""
     while mask:
         lowest_bit = mask & -mask
@@ -42,12 +42,12 @@
         mask ^= lowest_bit
 
 
-def lowest(mask: int, count: int) -> int:
+def lowest_bits(mask: int, count: int) -> int:
     """Return the bitmap of the `count` lowest members."""
     if mask.bit_count() <= count:
         return mask
     selected = 0
-    for index in members(mask):
+    for index in set_bits(mask):
         if not count:
             break
         selected |= 1 << index
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -39,7 +39,7 @@
         jobs = GaugeMetricFamily("tidebend_jobs", "Jobs that aren't over, by kind and state.", labels=["kind", "state"])
         counted: Counter[tuple[str, str]] = Counter()
         waiting = 0
-        for job in self._controller.job_cache.live():
+        for job in self._controller.job_cache.live_jobs():
             counted[job.spec.kind, "running" if job.allocated_count else "queued"] += 1
             waiting += job.pending.bit_count()
         for (kind, state), number in sorted(counted.items()):
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -144,10 +144,10 @@
         Final states don't change, so they are answered from the cache: a cancellation once it is sealed. Raises
         `NotExecutedError` or `OutcomeUnknownError`.
         """
-        if self._job_cache.final(job_id) is None:
+        if self._job_cache.final_state(job_id) is None:
             if not self._cache.loaded.is_set() or not self._cache.barrier(self._read_timeout_s):
                 raise NotExecutedError("no state read")
-            self._look_up_finals(self._job_cache.unresolved(job_id), "poll")
+            self._look_up_finals(self._job_cache.missing_final_states(job_id), "poll")
         self._cancellation_sealer.seal(job_id)
         answer = self._answer_from_cache(job_id)
         if answer is None:
@@ -160,13 +160,13 @@
 
     def _answer_from_cache(self, job_id: str) -> Reply | None:
         """Return what the cache knows of a job; None if it knows nothing. All answers about jobs are made here."""
-        final = self._job_cache.final(job_id)
+        final = self._job_cache.final_state(job_id)
         if final is not None:
             return Reply(200, protocol.job_answer(job_id, final))
         job = self._job_cache.get(job_id)
         if job is None:
             # the job may have ended between the two look-ups
-            final = self._job_cache.final(job_id)
+            final = self._job_cache.final_state(job_id)
             return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
@@ -246,7 +246,7 @@
             job = self._job_cache.get(job_id)
             if job is not None and job.spec.kind == "service":
                 return f"awaits: {job_id} is a service"
-            if job is None and self._job_cache.final(job_id) is None and self.find(job_id) is None:
+            if job is None and self._job_cache.final_state(job_id) is None and self.find(job_id) is None:
                 return f"awaits: {job_id} was never accepted"
         return None
 
--- a/tidebend/controller/autoscaling/cancelled_work.py
+++ b/tidebend/controller/autoscaling/cancelled_work.py
@@ -20,7 +20,7 @@
 
 def has_cancelled_work(job_cache: JobCache, machine: str) -> bool:
     """Whether a machine has allocations of a cancelled job."""
-    return any(job.cancelled for job, _ in job_cache.on_machine(machine))
+    return any(job.cancelled for job, _ in job_cache.allocations_on(machine))
 
 
 class CancelledWorkReaper:
@@ -65,7 +65,9 @@
         else:
             known, first_seen = self._cancelled_since, now
         self._cancelled_since = {
-            job.id: known.get(job.id, first_seen) for job in self._job_cache.live() if job.cancelled and job.allocations
+            job.id: known.get(job.id, first_seen)
+            for job in self._job_cache.live_jobs()
+            if job.cancelled and job.allocations
         }
 
     def release_unresponsive(self, released_by_peers: set[str], now: float) -> None:
@@ -94,7 +96,7 @@
         max_silence_s = SILENT_REPORTS * self._settings.report_s
         return {
             allocation.machine: allocation.zone
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             if self._is_long_cancelled(job, now)
             for allocation in job.allocations
             if allocation.machine not in released and now - contacts.get(allocation.machine, -math.inf) > max_silence_s
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -97,9 +97,9 @@
         """Remove the allocations on released machines: all that they ran or might have started has ended."""
 
         def edit(job: Job, _: TeamUsage) -> Job:
-            return job.without_tasks(job.allocated_on(machines), 0)
+            return job.with_ended_tasks(job.allocated_on(machines), 0)
 
-        jobs = sorted({job.id for machine in machines for job, _ in self._job_cache.on_machine(machine)})
+        jobs = sorted({job.id for machine in machines for job, _ in self._job_cache.allocations_on(machine)})
         try:
             self._job_writer.change_all([JobEdit(job, edit) for job in jobs])
         except (NotExecutedError, OutcomeUnknownError) as error:
@@ -110,7 +110,7 @@
     def retry_clearing(self, now: float) -> None:
         """Clear allocations whose removal could not be written before, and forget releases that are long past."""
         with self._machine_registry.lock:
-            allocated = self._job_cache.machines()
+            allocated = self._job_cache.machines_with_allocations()
             released = {name for name in allocated if name in self._machine_registry.released_at}
         self._machine_registry.forget_released(now - self._remembered_s, needed=allocated)
         if released:
--- a/tidebend/controller/autoscaling/scale_in.py
+++ b/tidebend/controller/autoscaling/scale_in.py
@@ -7,7 +7,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
 from tidebend.controller.autoscaling.machine_types import MachineTypes
 from tidebend.settings import Settings
@@ -48,7 +48,7 @@
         surplus = []
         on_demand = [machine for machine in machines if not machine.spot and not machine.draining]
         for machine in [machine for machine in machines if self._is_idle(machine)]:
-            if machine.draining or machine.notice_at is not None:
+            if machine.draining or machine.reclaim_at is not None:
                 surplus.append(machine)
                 continue
             if machine.idle_since is None or now - machine.idle_since <= self._retention_s(machine):
@@ -62,7 +62,7 @@
 
     def _record_idle(self, machines: list[Machine], now: float) -> None:
         for machine in machines:
-            if self._job_cache.on_machine(machine.name):
+            if self._job_cache.allocations_on(machine.name):
                 machine.idle_since = None
             elif machine.idle_since is None:
                 machine.idle_since = now
@@ -71,7 +71,7 @@
         # tasks that have ended may be kept on a machine, see `Machine.can_forget`
         return (
             machine.idle_since is not None
-            and not self._job_cache.on_machine(machine.name)
+            and not self._job_cache.allocations_on(machine.name)
             and all(task.state == "ended" for task in machine.tasks.values())
         )
 
@@ -90,7 +90,7 @@
             # from here on no allocation can come: the scheduler passes over machines that are being released
             for machine in surplus:
                 machine.releasing = True
-        names = [machine.name for machine in surplus if not self._job_cache.on_machine(machine.name)][:MAX_NAMES]
+        names = [machine.name for machine in surplus if not self._job_cache.allocations_on(machine.name)][:MAX_NAMES]
         if names and self._releaser.release(names):
             self._next_release_at = now + self.interval_s
         with self._machine_registry.lock:
@@ -105,7 +105,7 @@
                     self._evict_tasks(machine)
 
     def _evict_tasks(self, machine: Machine) -> None:
-        for job, allocation in self._job_cache.on_machine(machine.name):
-            for index in members(allocation.tasks):
+        for job, allocation in self._job_cache.allocations_on(machine.name):
+            for index in set_bits(allocation.tasks):
                 grace_s = EVICTION_GRACE_FACTOR * job.spec.save_s
                 machine.stop_requests.setdefault((job.id, index, allocation.attempt), grace_s)
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -116,7 +116,7 @@
     ) -> Capacity:
         free: Amount = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         returns = []
-        for job, allocation in self._job_cache.on_machine(name):
+        for job, allocation in self._job_cache.allocations_on(name):
             amount = _times(need_of(job.spec), allocation.tasks.bit_count())
             free = _minus(free, amount)
             if job.spec.kind != "service":
@@ -135,7 +135,7 @@
         """The waiting work, and what will be ready by the time a machine could be up."""
         requests = [
             request
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             if (request := self._pending_jobs.request(job, now, clock)) is not None
         ]
         return requests + self._pending_jobs.requests_soon_ready(now, clock)
--- a/tidebend/controller/autoscaling/unresponsive_machines.py
+++ b/tidebend/controller/autoscaling/unresponsive_machines.py
@@ -101,7 +101,7 @@
         """Machines with allocations that have never reported to us, and since when we hold their shard."""
         return {
             allocation.machine: grant.held_since
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             for allocation in job.allocations
             if shard_of(allocation.zone) == grant.shard and allocation.machine not in reported
         }
--- a/tidebend/controller/autoscaling/zone_evacuation.py
+++ b/tidebend/controller/autoscaling/zone_evacuation.py
@@ -102,7 +102,7 @@
         with self._machine_registry.lock:
             machine = self._machine_registry.machines.get(name)
         machine_type = self._machine_types.by_name.get(machine.type) if machine is not None else None
-        for job, allocation in self._job_cache.on_machine(name):
+        for job, allocation in self._job_cache.allocations_on(name):
             if job.spec.kind == "service":
                 replicas += allocation.tasks.bit_count()
                 continue
@@ -113,7 +113,7 @@
 
     def _gang_wait_s(self, name: str) -> float:
         """How much longer a machine of gangs is waited for, by what others would take to boot and fetch the image."""
-        jobs = [job for job, _ in self._job_cache.on_machine(name)]
+        jobs = [job for job, _ in self._job_cache.allocations_on(name)]
         if not jobs or any(job.spec.kind != "gang" for job in jobs):
             return 0.0
         machine_types = self._machine_types.by_name.values()
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -36,7 +36,7 @@
     """Delays completions for a moment so that one write records several, and decides when the delay is over.
 
     The capacity of ended tasks is available for planning at once, since it is planned from heartbeats: only the records
-    wait. `gather_s` is the shortest delay, `allocation_pause_s` the least time between two allocations of an array
+    wait. `batch_delay_s` is the shortest delay, `allocation_pause_s` the least time between two allocations of an array
     whose tasks follow one another as capacity becomes free, since each allocation costs a write.
     """
 
@@ -49,8 +49,8 @@
         self._job_cache = job_cache
         self._job_writer = job_writer
         self._waiting_since: dict[str, float] = {}  # job -> steady time since which its completions wait
-        self.gather_s = settings.knobs.gather * settings.lease_s
-        self.allocation_pause_s = ALLOCATION_PAUSE_SHARE * self.gather_s
+        self.batch_delay_s = settings.knobs.gather * settings.lease_s
+        self.allocation_pause_s = ALLOCATION_PAUSE_SHARE * self.batch_delay_s
 
     def forget_except(self, unrecorded: dict[str, UnrecordedCompletions]) -> None:
         """Drop the waiting times of jobs without unrecorded completions."""
@@ -82,14 +82,14 @@
         `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.change_all` does.
         """
         now = time.monotonic()
-        gather_s = self._gather_s_for(len(unrecorded))
+        batch_delay_s = self._batch_delay_s_for(len(unrecorded))
         edits = []
         for job_id, completions in unrecorded.items():
             job = self._job_cache.get(job_id)
             if job is None:
                 continue
             waited_s = now - self._waiting_since.setdefault(job_id, now)
-            if self._must_be_recorded(job, completions, waited_s, gather_s):
+            if self._must_be_recorded(job, completions, waited_s, batch_delay_s):
                 edits.append(self._edit(job_id, completions))
         if edits:
             recorded = self._job_writer.change_all(edits)
@@ -103,7 +103,7 @@
 
     def apply(self, job: Job, _: TeamUsage, completions: UnrecordedCompletions) -> Job:
         """Return the job with the completions, in a form that its record can hold."""
-        new = job.without_tasks(completions.ended, completions.done)
+        new = job.with_ended_tasks(completions.ended, completions.done)
         if (
             completions.done
             and not job.chunks
@@ -112,22 +112,24 @@
         ):
             # The indexes of the done tasks may be too scattered for a record. The platform keeps results, so a task
             # that isn't recorded as done and is started again is done at once.
-            without_done = job.without_tasks(completions.ended, 0)
+            without_done = job.with_ended_tasks(completions.ended, 0)
             return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.max_value_bytes else without_done
         return new
 
     def _edit(self, job_id: str, completions: UnrecordedCompletions) -> JobEdit:
         return JobEdit(job_id, partial(self.apply, completions=completions), self.conditions(completions))
 
-    def _gather_s_for(self, jobs: int) -> float:
+    def _batch_delay_s_for(self, jobs: int) -> float:
         """Return the gathering time with completions of `jobs` jobs: longer with more, to leave writes for others."""
         writes_per_s = COMPLETIONS_WRITE_SHARE * self._job_writer.writes_per_s
-        return max(self.gather_s, min(self._settings.lease_s, jobs / writes_per_s))
+        return max(self.batch_delay_s, min(self._settings.lease_s, jobs / writes_per_s))
 
-    def _must_be_recorded(self, job: Job, completions: UnrecordedCompletions, waited_s: float, gather_s: float) -> bool:
+    def _must_be_recorded(
+        self, job: Job, completions: UnrecordedCompletions, waited_s: float, batch_delay_s: float
+    ) -> bool:
         return (
             job.spec.kind != "array"
-            or waited_s >= gather_s
+            or waited_s >= batch_delay_s
             or self._are_last_of_job(job, completions)
             or (waited_s >= self.allocation_pause_s and self._is_at_limit(job.spec))
         )
--- a/tidebend/controller/records/completion_tracker.py
+++ b/tidebend/controller/records/completion_tracker.py
@@ -11,7 +11,7 @@
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.records.completion_recorder import CompletionEdit, CompletionRecorder
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.retry_backoff import RetryBackoff, RetryBackoffs
@@ -94,7 +94,7 @@
         """
         machines_to_stop: set[str] = set()
         is_leader = self.coordinator.term is not None
-        for job in self.job_cache.live():
+        for job in self.job_cache.live_jobs():
             if job.cancelled:
                 machines_to_stop.update(allocation.machine for allocation in job.allocations)
             if is_leader and not job.allocations and (job.cancelled or job.complete):
@@ -118,7 +118,7 @@
             if machine.token != grant.token:
                 return
             machine.needs_reconciliation = False
-            for job, allocation in self.job_cache.on_machine(machine.name):
+            for job, allocation in self.job_cache.allocations_on(machine.name):
                 ended, done = self._ended_tasks(machine, job, allocation, now)
                 if not ended:
                     continue
@@ -138,7 +138,7 @@
         if allocation.session > machine.session:
             return 0, 0
         ended = done = 0
-        for index in members(allocation.tasks):
+        for index in set_bits(allocation.tasks):
             key = (job.id, index, allocation.attempt)
             task = machine.tasks.get(key)
             if task is None:
@@ -165,7 +165,7 @@
         """
         self.recorder.record(self.unrecorded)
 
-    def recorded_with_allocation(self, job_id: str) -> None:
+    def mark_recorded(self, job_id: str) -> None:
         """Note that a job's completions were recorded in the transaction of its next allocation."""
         self.recorder.mark_recorded(job_id)
         self.unrecorded.pop(job_id, None)
--- a/tidebend/controller/records/edit_batches.py
+++ b/tidebend/controller/records/edit_batches.py
@@ -70,8 +70,8 @@
         self.writes.update((write[0], write) for write in prepared.writes)
         if prepared.changes_team_usage:
             # what ends in this transaction is available to the allocations that follow in it
-            ended = transaction.job.ended - before.ended
-            self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended)
+            ended_count = transaction.job.ended_count - before.ended_count
+            self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended_count)
         for zone, (cpus, gpus) in prepared.added.items():
             total = self.added.get((prepared.team, zone), (0.0, 0.0))
             self.added[prepared.team, zone] = (total[0] + cpus, total[1] + gpus)
@@ -188,6 +188,6 @@
     """Return what a change allocates less what it ends, in the zones in which that differs."""
     tasks: dict[str, int] = {}
     for job, sign in ((before, -1), (after, 1)):
-        for zone, count in job.per_zone().items():
+        for zone, count in job.allocated_by_zone().items():
             tasks[zone] = tasks.get(zone, 0) + sign * count
     return {zone: (count * after.spec.cpus, count * after.spec.gpus) for zone, count in tasks.items() if count}
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -85,12 +85,12 @@
     @staticmethod
     def _split_into(job: Job, size: int) -> _SplitJob:
         """Split a job into chunks of `size` tasks."""
-        index = ChunkIndex(size, ended=job.ended, started=job.started)
+        index = ChunkIndex(size, ended_count=job.ended_count, last_attempt=job.last_attempt)
         whole = replace(job, chunks=index)
         open_chunks: dict[int, Chunk] = {}
         finished = 0
         for number in index.numbers(whole.done | whole.allocated):
-            chunk = replace(whole.chunk_of(number, job), source=job.version, started=job.started)
+            chunk = replace(whole.chunk_of(number, job), source=job.version, last_attempt=job.last_attempt)
             if whole.chunk_is_finished(number, chunk):
                 finished |= 1 << number
             else:
--- a/tidebend/controller/records/retry_backoff.py
+++ b/tidebend/controller/records/retry_backoff.py
@@ -11,7 +11,7 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.settings import Settings
 
 log = logging.getLogger("completions")
@@ -119,7 +119,7 @@
                         return True
                 elif any(
                     now - machine.running_since.get((job.id, index, allocation.attempt), now) > healthy_run_s
-                    for index in members(allocation.tasks)
+                    for index in set_bits(allocation.tasks)
                 ):
                     return True
         return False
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -9,7 +9,7 @@
 
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.task_bitmap import lowest, members
+from tidebend.cluster_state.task_bitmap import lowest_bits, set_bits
 from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.records.job_writer import JobEdit, JobWriter
 from tidebend.controller.records.unrecorded_completions import UnrecordedCompletions
@@ -56,7 +56,7 @@
         changed = self.job_writer.change_all(edits) if edits else {}
         now = time.monotonic()
         for name, job in changed.items():
-            self.completions.recorded_with_allocation(name)
+            self.completions.mark_recorded(name)
             if name in placements:
                 self._note_claim(job, placements[name], now)
         self.send({placement.machine for name in changed for placement in placements.get(name, ())})
@@ -160,14 +160,16 @@
         spec = job.spec
         team = self.settings.teams.get(spec.team)
         attempt = _next_attempt(job)
-        request = TaskRequest(job.id, spec, value_of(Demand(0), 0, 1), 1, pending.bit_count(), job.per_zone())
+        request = TaskRequest(job.id, spec, value_of(Demand(0), 0, 1), 1, pending.bit_count(), job.allocated_by_zone())
         allocations: list[Allocation] = []
         for placement in group:
             machine = machines[placement.machine].machine
-            tasks = lowest(pending, min(placement.tasks, request.zone_headroom(machine.zone)))
+            tasks = lowest_bits(pending, min(placement.tasks, request.zone_headroom(machine.zone)))
             if not tasks:
                 continue
-            if attempt <= job.started and any((job.id, index, attempt) in machine.tasks for index in members(tasks)):
+            if attempt <= job.last_attempt and any(
+                (job.id, index, attempt) in machine.tasks for index in set_bits(tasks)
+            ):
                 return []
             count = tasks.bit_count()
             usage = usage.with_tasks_allocated(spec, count)
@@ -196,4 +198,4 @@
     """The attempt of new claims: a gang's replacements have that of the tasks that wait for them."""
     if job.spec.kind == "gang" and job.allocations:
         return job.allocations[0].attempt
-    return job.started + 1
+    return job.last_attempt + 1
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.protocol import MachineType
@@ -84,7 +84,7 @@
         self, machine: Machine, kind: MachineType, grant: ShardGrant, now: float, clock: float
     ) -> CandidateMachine | None:
         """The machine as a mapping event sees it; None if nothing may be placed on it."""
-        allocated = self.job_cache.on_machine(machine.name)
+        allocated = self.job_cache.allocations_on(machine.name)
         if machine.token != grant.token or machine.draining or machine.releasing or self.is_silent(machine, now):
             return None
         load = _MachineLoad(machine, kind, self.settings, now, clock)
@@ -99,8 +99,8 @@
             set(machine.images),
             len(load.images_being_fetched),
         )
-        if machine.notice_at is not None:
-            candidate.reclaimed_at = machine.notice_at
+        if machine.reclaim_at is not None:
+            candidate.reclaimed_at = machine.reclaim_at
         return candidate
 
 
@@ -120,7 +120,7 @@
         """Count an allocation; `estimate` is the run time in seconds of each of its tasks."""
         need = need_of(job.spec)
         image_fetched = False
-        for index in members(allocation.tasks):
+        for index in set_bits(allocation.tasks):
             key = (job.id, index, allocation.attempt)
             task = self._machine.tasks.get(key)
             if task is not None and task.state == "ended" and allocation.session == self._machine.session:
@@ -132,7 +132,7 @@
             else:
                 image_fetched = True
         if image_fetched:
-            self._machine.uses_image(job.spec.image, job.spec.image_gb, self._kind.cache_gb)
+            self._machine.record_image_use(job.spec.image, job.spec.image_gb, self._kind.cache_gb)
 
     def timeline(self) -> Timeline:
         """What is free from now on, in steady time."""
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -13,7 +13,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
@@ -70,7 +70,7 @@
 
     def update_demands(self) -> None:
         """Find out what the jobs of pipelines are asked for by those that need them, however late these came."""
-        after = self.job_cache.dependents()
+        after = self.job_cache.dependents_by_job()
         own: dict[str, Demand] = {}
         length: dict[str, float] = {}
         for name in {*after, *(waiter for waiters in after.values() for waiter in waiters)}:
@@ -109,7 +109,7 @@
             value=value,
             estimate=estimate,
             waiting=waiting,
-            tasks_by_zone=job.per_zone(),
+            tasks_by_zone=job.allocated_by_zone(),
             headroom=self._headroom(spec, waiting, used, zones),
             reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, clock),
             not_before=self._backed_off_until(job, now, clock),
@@ -125,7 +125,7 @@
         Their `not_before` is the time at which they are expected to be ready.
         """
         requests = []
-        after = self.job_cache.dependents()
+        after = self.job_cache.dependents_by_job()
         for name in {waiter for waiters in after.values() for waiter in waiters}:
             job = self.job_cache.get(name)
             if job is None or not job.blocked or job.cancelled:
@@ -193,7 +193,7 @@
             machine = self.machine_registry.machines.get(allocation.machine)
             if machine is None or machine.session != allocation.session:
                 return False
-            for index in members(allocation.tasks):
+            for index in set_bits(allocation.tasks):
                 task = machine.tasks.get((job.id, index, allocation.attempt))
                 if task is not None and task.state not in ("fetching", "waiting"):
                     return False
@@ -203,7 +203,7 @@
         """Seconds until all that a blocked job needs is expected to be done; None if some of it isn't running yet."""
         ready_in = 0.0
         for name in job.dependencies:
-            if name not in after or self.job_cache.final(name) is not None:
+            if name not in after or self.job_cache.final_state(name) is not None:
                 continue
             dependency = self.job_cache.get(name)
             if dependency is None or dependency.pending or not dependency.allocations:
@@ -260,7 +260,7 @@
         """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
         if job.spec.kind != "gang" or not job.allocations:
             return frozenset()
-        keys = {(job.id, index, job.allocations[0].attempt) for index in members(job.pending)}
+        keys = {(job.id, index, job.allocations[0].attempt) for index in set_bits(job.pending)}
         with self.machine_registry.lock:
             return frozenset(
                 name for name, machine in self.machine_registry.machines.items() if keys & machine.tasks.keys()
@@ -274,7 +274,7 @@
         every event: large jobs and long ones waited until they were worth nothing, and were then placed last.
         """
         reserved_from = job.startable_since + self.reserved_after_s
-        if not job.started and clock > reserved_from:
+        if not job.last_attempt and clock > reserved_from:
             return min(reserved_from, value.soft_deadline)
         return value.soft_deadline if is_reserved(value, clock) else None
 
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -13,7 +13,7 @@
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.staggered_claims import ClaimStagger, shard_order
 from tidebend.coordination import Coordinator, shard_of
@@ -165,9 +165,9 @@
         """What a machine has free, and its tasks that may be stopped, those that lose least first."""
         free = (kind.cpus, kind.gpus, kind.memory_gb)
         victims = []
-        for job, allocation in self.job_cache.on_machine(machine.name):
+        for job, allocation in self.job_cache.allocations_on(machine.name):
             need = need_of(job.spec)
-            for index in members(allocation.tasks):
+            for index in set_bits(allocation.tasks):
                 free = subtract(free, need)
                 if _may_be_stopped(job.spec):
                     victims.append(_victim(machine, job, allocation, index, now))
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -134,7 +134,7 @@
             self.cancellation_sealer.seal_all()
 
     def _resolve_final_records(self) -> None:
-        unresolved = self.job_cache.unresolved()
+        unresolved = self.job_cache.missing_final_states()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
                 self._look_up_finals(unresolved, "claim")
@@ -148,7 +148,7 @@
         now, clock = time.monotonic(), time.time()
         if not self.coordinator.lease_valid:
             return
-        jobs = {job.id: job for job in self.job_cache.live() if job.pending}
+        jobs = {job.id: job for job in self.job_cache.live_jobs() if job.pending}
         self._forget_all_but(jobs)
         # also while none of our machines can be used: quota of a zone that is cut off lies with whoever took its shard
         self.quota_releaser.release_for(jobs.values(), now)
@@ -234,7 +234,7 @@
             return []
         ours = {grant.shard for grant in self.coordinator.grants()}
         requests = []
-        for job in self.job_cache.live():
+        for job in self.job_cache.live_jobs():
             if job.spec.kind != "service":
                 continue
             order = shard_order(job.id, shards)
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -187,7 +187,7 @@
         """The commands for a machine; called under the machine registry's lock."""
         if machine.token > token:
             return []
-        allocations = self._job_cache.on_machine(machine.name)
+        allocations = self._job_cache.allocations_on(machine.name)
         if lease_valid:
             commands = commands_for(machine, allocations, token, direct=True)
         else:
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -142,7 +142,7 @@
 
     def _commands(self, machine: Machine, token: int) -> list[Command]:
         """The commands for a machine; called under the machine registry's lock."""
-        allocations = self._job_cache.on_machine(machine.name)
+        allocations = self._job_cache.allocations_on(machine.name)
         if self._coordinator.lease_valid:
             commands = commands_for(machine, allocations, token, direct=False)
         else:
