--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -19,8 +19,7 @@
 from tests.test_guards import TYPES, begun
 from tests.test_scenarios import JOB
 from tidebend.cluster_state.allocations import Allocation
-from tidebend.cluster_state.job_records import JOB as JOB_KEY
-from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.job_records import JOB_PREFIX, Job
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.coordination.schema_version import FORMAT
 from tidebend.kvclient import NotExecutedError, OutcomeUnknownError
@@ -185,11 +184,11 @@
         job = Job("req-a", 0, parse_job({**JOB, "pieces": 2}), 0.0, cancelled=True)
         record = replace(job, allocations=(Allocation("vm-000000", 1, 1, 3, 0.0, "north"),)).pack()
         del record["done"]  # as production writes it
-        world.state.transact({"if": [], "writes": [{"put": JOB_KEY + "req-a", "v": record}]})
+        world.state.transact({"if": [], "writes": [{"put": JOB_PREFIX + "req-a", "v": record}]})
         written = len(world.state.changes)
         for _ in range(20):
             world.step()
-        after = next(row for row in world.state.changes[written:] if JOB_KEY + "req-a" in row.values())
+        after = next(row for row in world.state.changes[written:] if JOB_PREFIX + "req-a" in row.values())
         assert after["v"] == {**record, "done": "2"}
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -12,8 +12,7 @@
 from tests.test_scenarios import JOB
 from tidebend.autoscaling import Offer, ProvisionRequest
 from tidebend.cluster_state.allocations import Allocation
-from tidebend.cluster_state.job_records import JOB as JOB_KEY
-from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.job_records import JOB_PREFIX, Job
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.reconciliation import commands_for
 from tidebend.cluster_state.record_chunks import ChunkIndex
@@ -112,7 +111,7 @@
 def test_a_stale_holder_claims_nothing_of_a_job_that_was_cancelled(world):
     first, second = stale_pair(world, a=spec())
     record = replace(first.job_cache.get("a"), cancelled=True).pack()
-    world.state.transact({"if": [], "writes": [{"put": JOB_KEY + "a", "v": record}]})
+    world.state.transact({"if": [], "writes": [{"put": JOB_PREFIX + "a", "v": record}]})
     assert allocation(second, "a", "vm-000001", 1) is None
 
 
@@ -488,7 +487,7 @@
     def paged(prefix, after):
         rows, _, revision = whole(prefix, None)
         if after is None:
-            page = [row for row in rows if row[0] <= JOB_KEY + "a"]
+            page = [row for row in rows if row[0] <= JOB_PREFIX + "a"]
             # between the pages the job ends for good, and its team's record with it
             assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
             return page, True, revision
--- a/tests/test_pipelines.py
+++ b/tests/test_pipelines.py
@@ -5,7 +5,7 @@
 
 from tests.test_scenarios import JOB as FIELDS
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.protocol import parse_job
 from tidebend.scheduling import Demand, propagate_demands
 
@@ -48,10 +48,10 @@
     wide = 400
     job_cache = book_of({"req-0": [], **{f"req-{n}": ["req-0"] for n in range(1, wide)}})
     claimed = Job("req-0", 0, SPEC, 100.0, last_attempt=1)
-    job_cache.on_change(JOB + "req-0", claimed.pack(), 5000)
+    job_cache.on_change(JOB_PREFIX + "req-0", claimed.pack(), 5000)
     assert job_cache.looked_at == 1  # the others aren't looked at when what they wait for goes on
     assert [job.id for job in job_cache.live_jobs() if job.pending] == ["req-0"]
-    job_cache.on_change(JOB + "req-0", None, 5001)
+    job_cache.on_change(JOB_PREFIX + "req-0", None, 5001)
     final(job_cache, "req-0", "done", 130.0)
     assert job_cache.looked_at <= wide
     assert all(job.pending and job.startable_since == 130.0 for job in job_cache.live_jobs())
@@ -71,7 +71,7 @@
         (),
         140.0,
         False,
-        HEAD + "req-d",
+        HEAD_PREFIX + "req-d",
     )
 
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -17,8 +17,8 @@
 from tests.test_upgrade import kind, shape
 from tidebend.cluster_state.final_states import FinalState, pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
-from tidebend.cluster_state.record_chunks import CHUNK, Chunk, ChunkIndex
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX, Chunk, ChunkIndex
 from tidebend.cluster_state.task_bitmap import parse_ranges
 from tidebend.coordination.records import LEADER, NODE, SHARD, ZONE
 from tidebend.coordination.schema_version import FORMAT, READS
@@ -41,14 +41,17 @@
 
 
 def test_jobs_are_written_back_as_they_were():
-    records = [*SAMPLES["records"], *((key, value) for key, value in WRITTEN if key.startswith((JOB, HEAD)))]
-    assert {key.startswith(JOB) for key, _ in records} == {True, False}
+    records = [
+        *SAMPLES["records"],
+        *((key, value) for key, value in WRITTEN if key.startswith((JOB_PREFIX, HEAD_PREFIX))),
+    ]
+    assert {key.startswith(JOB_PREFIX) for key, _ in records} == {True, False}
     assert {name for _, value in records for name in value} == {
         *("spec", "at", "cancelled", "awaits", "ready", "parts", "started", "ended", "done", "claims")
     }
     for key, value in records:
         job = Job.unpack(key.rpartition("/")[2], value, 7)
-        if key.startswith(JOB) and "cancelled" in value:
+        if key.startswith(JOB_PREFIX) and "cancelled" in value:
             # the only field that is written otherwise than it was: see the next test
             value = {**value, "done": f"{value['done']},{job.spec.tasks}"}
         assert as_stored(job.pack()) == value
@@ -57,7 +60,7 @@
 
 
 def test_a_cancelled_record_of_the_first_format_holds_a_task_more_than_there_are_and_no_other_does():
-    cancelled = [value for key, value in SAMPLES["records"] if key.startswith(JOB) and "cancelled" in value]
+    cancelled = [value for key, value in SAMPLES["records"] if key.startswith(JOB_PREFIX) and "cancelled" in value]
     assert cancelled
     for value in cancelled:
         job = Job.unpack("req-a", value, 7)
@@ -76,8 +79,8 @@
 
 def test_chunks_are_written_back_as_they_were():
     chunks = list(SAMPLES["chunks"])
-    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD) if "parts" in value}
-    for name, value in recorded(CHUNK):
+    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD_PREFIX) if "parts" in value}
+    for name, value in recorded(CHUNK_PREFIX):
         job, _, number = name.rpartition("/")
         chunks.append([int(number) * sizes[job], value])
     assert {name for _, value in chunks for name in value} == {"started", "ended", "done", "claims", "source"}
@@ -177,7 +180,8 @@
 
 
 @pytest.mark.parametrize(
-    "prefix", [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM_PREFIX, QUOTA_PREFIX, FINAL, JOB, HEAD, CHUNK]
+    "prefix",
+    [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM_PREFIX, QUOTA_PREFIX, FINAL, JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX],
 )
 def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
     def forms(rows):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,7 @@
 from tests.test_scenarios import Scenario
 from tidebend.cluster_state.final_states import pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.coordination.schema_version import FORMAT, READS
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
@@ -42,7 +42,7 @@
 
 @pytest.mark.parametrize("sample", SAMPLES["jobs"], ids=lambda sample: "+".join(sample["value"]))
 def test_a_job_as_production_wrote_it_is_read_and_written_as_it_was(sample):
-    job = Job.unpack(sample["key"][len(JOB) :], sample["value"], 7)
+    job = Job.unpack(sample["key"][len(JOB_PREFIX) :], sample["value"], 7)
     assert json.loads(json.dumps(job.pack())) == sample["value"]
     assert job.key == sample["key"]
     assert not job.blocked
@@ -74,7 +74,7 @@
     assert {kind(key) for key, _ in written} - set(known) == {kind(READS + "n0")}  # which production never looks at
     assert FORMAT not in world.state.items
     for key, value in written:
-        if kind(key) == kind(JOB):
+        if kind(key) == kind(JOB_PREFIX):
             assert len(value["spec"]) == len(SAMPLES["jobs"][0]["value"]["spec"])
             assert any(set(value) <= set(sample) | {"cancelled"} for sample in known[kind(key)]), value
             assert all(list(map(type, row[:4])) == [int, int, float, str] for row in value.get("claims", ()))
@@ -119,13 +119,13 @@
         reply = world.controllers["n0"].job_api.submit(raw)
         assert reply.status == 503
         assert reply.headers["Retry-After"]
-        assert HEAD + "req-b" not in world.state.items
+        assert HEAD_PREFIX + "req-b" not in world.state.items
         for _ in range(80):
             world.step()
         assert world.state.items[FORMAT][0] == {"version": 2}
         assert world.controllers["n0"].job_api.submit(raw).status == 201
-        assert HEAD + "req-b" in world.state.items
-        assert JOB + "req-b" not in world.state.items
+        assert HEAD_PREFIX + "req-b" in world.state.items
+        assert JOB_PREFIX + "req-b" not in world.state.items
 
 
 @pytest.fixture
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -12,8 +12,8 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.dependency_graph import DependencyGraph
 from tidebend.cluster_state.final_states import CANCELLED, DONE, UNKNOWN_TIME, FinalState, unpack_final
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
-from tidebend.cluster_state.record_chunks import CHUNK, Chunk
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX, Chunk
 from tidebend.kvclient import FINAL
 from tidebend.quota import QuotaAmount, TeamUsage, UsageIndex
 
@@ -58,12 +58,12 @@
 
     def on_change(self, key: str, value: Any, version: int) -> None:
         """Apply a record of the state service, or its removal if `value` is None; other keys are ignored."""
-        if key.startswith(JOB):
-            self._change_head(key[len(JOB) :], key, value, version)
-        elif key.startswith(HEAD):
-            self._change_head(key[len(HEAD) :], key, value, version)
-        elif key.startswith(CHUNK):
-            name, _, number = key[len(CHUNK) :].rpartition("/")
+        if key.startswith(JOB_PREFIX):
+            self._change_head(key[len(JOB_PREFIX) :], key, value, version)
+        elif key.startswith(HEAD_PREFIX):
+            self._change_head(key[len(HEAD_PREFIX) :], key, value, version)
+        elif key.startswith(CHUNK_PREFIX):
+            name, _, number = key[len(CHUNK_PREFIX) :].rpartition("/")
             self._change_chunk(name, int(number), value, version)
         elif key.startswith(FINAL):
             if value is not None:
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -1,7 +1,7 @@
 """Jobs in their form in the state service.
 
-A job without dependencies whose record isn't split is stored under `JOB`, exactly as controllers of the first format
-version read and write it. Any other job is stored under `HEAD`, which those controllers don't look at.
+A job without dependencies whose record isn't split is stored under `JOB_PREFIX`, exactly as controllers of the first
+format version read and write it. Any other job is stored under `HEAD_PREFIX`, which those controllers don't look at.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 from tidebend.protocol import JobSpec
 
 # key prefix of jobs in the first format version
-JOB = LIVE + "job/"
+JOB_PREFIX = LIVE + "job/"
 # key prefix of jobs with dependencies, former ones included, and of jobs whose record is split
-HEAD = LIVE + "head/"
+HEAD_PREFIX = LIVE + "head/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,19 +27,22 @@
     """A job with its form in records.
 
     Controllers of the first format version record a job as done once its bitmap of done tasks equals that of all its
-    tasks, even if it was cancelled before. To keep them from it, a cancelled job under `JOB` is recorded with one more
-    done task than it has tasks, which seals its cancellation. They keep that bit; it is removed when a record is read.
+    tasks, even if it was cancelled before. To keep them from it, a cancelled job under `JOB_PREFIX` is recorded with
+    one more done task than it has tasks, which seals its cancellation. They keep that bit; it is removed when a record
+    is read.
     """
 
     @property
     def key(self) -> str:
         """The key of its record."""
-        return (HEAD if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB) + self.id
+        return (
+            HEAD_PREFIX if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB_PREFIX
+        ) + self.id
 
     @property
     def needs_sealing(self) -> bool:
         """Whether the job is cancelled, and controllers of the first format version may still record it as done."""
-        return self.cancelled and not self.cancellation_sealed and self.key.startswith(JOB)
+        return self.cancelled and not self.cancellation_sealed and self.key.startswith(JOB_PREFIX)
 
     @property
     def _sealing_bit(self) -> int:
@@ -66,7 +69,7 @@
             value["started"] = self.last_attempt
         if self.ended_count:
             value["ended"] = self.ended_count
-        sealing_bit = self._sealing_bit if self.cancelled and self.key.startswith(JOB) else 0
+        sealing_bit = self._sealing_bit if self.cancelled and self.key.startswith(JOB_PREFIX) else 0
         if self.done or sealing_bit:
             value["done"] = format_ranges(self.done | sealing_bit)
         if self.allocations:
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -14,7 +14,7 @@
 from tidebend.kvclient import LIVE
 
 # key prefix of chunks
-CHUNK = LIVE + "part/"
+CHUNK_PREFIX = LIVE + "part/"
 # bytes of a value to allow for each task of a chunk: what the allocation of one task to a machine of its own takes
 BYTES_PER_TASK = 24
 
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -10,7 +10,7 @@
 from tidebend import protocol
 from tidebend.cluster_state.final_states import unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.controller.api.replies import RETRY_LATER, parse_body, unavailable_reply
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.controller.records.job_writer import JobWriter
@@ -252,8 +252,8 @@
 
     def _write_new(self, job: Job) -> Reply:
         """Write a new job's record if the job has no record of any form, and answer by what is recorded then."""
-        conditions = {JOB + job.id: 0, HEAD + job.id: 0, FINAL + job.id: 0}
-        if job.key != JOB + job.id:
+        conditions = {JOB_PREFIX + job.id: 0, HEAD_PREFIX + job.id: 0, FINAL + job.id: 0}
+        if job.key != JOB_PREFIX + job.id:
             conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
             self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_PATIENCE_S)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -10,9 +10,9 @@
 
 from tidebend import __version__, protocol
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.record_chunks import CHUNK
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX
 from tidebend.controller import connection_limits
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.api.router import Router
@@ -213,7 +213,7 @@
             self.state.keep_within(self.settings.next_store_limits)
             self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
-        if key.startswith((JOB, HEAD, CHUNK, FINAL)):
+        if key.startswith((JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX, FINAL)):
             self.scheduling_loop.wake()
         else:
             self.coordinator.wake.set()
--- a/tidebend/controller/records/job_transaction.py
+++ b/tidebend/controller/records/job_transaction.py
@@ -7,7 +7,7 @@
 
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
-from tidebend.cluster_state.record_chunks import CHUNK
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX
 from tidebend.protocol import Write
 from tidebend.quota import TeamUsage
 
@@ -44,7 +44,7 @@
 
 def chunk_key(job_id: str, number: int) -> str:
     """Return the key of a chunk's record."""
-    return f"{CHUNK}{job_id}/{number}"
+    return f"{CHUNK_PREFIX}{job_id}/{number}"
 
 
 def chunk_versions(job_cache: JobCache, job: Job) -> dict[int, int]:
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, Job
 from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, chunk_size
 from tidebend.controller.records.job_transaction import chunk_key, delete, put
 from tidebend.controller.records.record_limits import ALLOCATIONS_SHARE, RecordLimits, packed_bytes
@@ -118,5 +118,5 @@
         if job.key != head.key:
             conditions[head.key] = 0
             writes.append(delete(job.key))
-        writes.append(put(HEAD + job.id, head.pack()))
+        writes.append(put(HEAD_PREFIX + job.id, head.pack()))
         self._cache.write(conditions, writes, patience=patience)
