--- a/simulation/model.py
+++ b/simulation/model.py
@@ -89,9 +89,9 @@
         self.items = {key: (value, version) for key, value, version in state.items}
         self.cache = {key: (value, version) for key, value, version in state.caches[number]}
         self.pending = list(state.pending)
-        self.state = SimpleNamespace(timeout=1.0)
+        self.client = SimpleNamespace(timeout=1.0)
         settings = SimpleNamespace(teams={TEAM: model.team}, zones=model.zones)
-        self.shares = QuotaRebalancer(settings, self, self, SimpleNamespace(pipelines=True), self.held)
+        self.shares = QuotaRebalancer(settings, self, self, SimpleNamespace(supports_pipelines=True), self.held)
         if state.doubts[number]:
             self.shares.mark_uncertain({TEAM})
 
@@ -120,7 +120,7 @@
 
     # the mirror
 
-    def write(self, conditions: dict[str, int], writes: list, patience: float = 0.0) -> int:
+    def write(self, conditions: dict[str, int], writes: list, retry_for_s: float = 0.0) -> int:
         """As `WatchCache.write`, with each outcome that the state service may have."""
         fault = self.model.fault
         if fault == "no_fence":
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -166,7 +166,7 @@
     known = {}
 
     class State:
-        def transact(self, conditions, writes, kind, patience):
+        def transact(self, conditions, writes, kind, retry_for_s):
             cache.catch_up(0.0, "claim")  # as of 9: the job was written at 5 and deleted at 7
             return 5
 
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -232,7 +232,7 @@
 
     cache = WatchCache(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     cache.catch_up(0.0, "claim")
-    assert not cache.under(LIVE)
+    assert not cache.get_by_prefix(LIVE)
     cache.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
     assert len(cache._tombstones) == 0  # no request is under way that could undo them
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -54,7 +54,7 @@
 def old_world(monkeypatch):
     """The format is never raised: teams have the records that the version before pipelines keeps."""
     monkeypatch.setattr(
-        "tidebend.coordination.schema_version.SchemaVersion.raise_if_all_read", lambda self, leader: None
+        "tidebend.coordination.schema_version.SchemaVersion.upgrade_if_all_support", lambda self, leader: None
     )
     yield from begun()
 
--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -26,7 +26,7 @@
 class Counted:
     """A state service that answers reads at once and counts them."""
 
-    poll_pause_s = 0.2
+    poll_read_interval_s = 0.2
 
     def __init__(self):
         self.reads = []
@@ -65,7 +65,7 @@
     spent = time.monotonic() - began
     assert len(answers) == 200
     assert all(answers)
-    assert len(cache.state.reads) <= spent / cache.state.poll_pause_s + 2
+    assert len(cache.client.reads) <= spent / cache.client.poll_read_interval_s + 2
 
 
 def test_a_claim_does_not_wait_for_the_polls_next_read(cache):
@@ -74,9 +74,9 @@
     poll.start()
     began = time.monotonic()
     assert cache.barrier(1.2, "claim")
-    assert time.monotonic() - began < 0.5 * cache.state.poll_pause_s
+    assert time.monotonic() - began < 0.5 * cache.client.poll_read_interval_s
     poll.join()
-    assert [kind for _, kind in cache.state.reads] == ["poll", "claim"]  # the poll has joined the claim's
+    assert [kind for _, kind in cache.client.reads] == ["poll", "claim"]  # the poll has joined the claim's
 
 
 class Refusing:
@@ -102,10 +102,10 @@
 def test_polls_are_held_back_only_while_the_service_refuses_requests_for_the_rate():
     """Held back always, they kept caches older than they need be: claims collided, and guarantees came later."""
     client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
-    often = client.poll_pause_s
+    often = client.poll_read_interval_s
     client._http.left = 6
     client.grant_lease(3.5)
-    assert client.poll_pause_s > 4 * often
+    assert client.poll_read_interval_s > 4 * often
 
 
 class Answering:
@@ -140,14 +140,14 @@
 )
 def test_each_outcome_of_a_transaction_has_its_type_and_what_was_not_executed_says_so(outcome, expected):
     with pytest.raises(KeyValueError) as raised:
-        client_of(outcome).transact({}, [("a", 1, None)], patience=0.0)
+        client_of(outcome).transact({}, [("a", 1, None)], retry_for_s=0.0)
     assert type(raised.value) is expected
 
 
 def test_requests_beyond_our_own_share_are_not_sent():
     client = client_of((200, {"logline": 1}), StoreLimits(rps=60.0, write_rps=3.0, value_bytes=8192, txn_ops=12))
     with pytest.raises(OverBudgetError) as raised:
-        client.transact({}, [("a", 1, None)] * 5, patience=0.0)
+        client.transact({}, [("a", 1, None)] * 5, retry_for_s=0.0)
     # by its text users are told that there are too many requests
     assert isinstance(raised.value, NotExecutedError)
     assert str(raised.value) == "over budget"
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -62,7 +62,7 @@
         first.coordinator.maintain_shards()
         after = first.coordinator.grant("north.0")
         assert after.token > before.token
-        assert after.since > before.since
+        assert after.acquired_at > before.acquired_at
         assert after.held_since == before.held_since
         # given by whoever leads, another may have heard the machines meanwhile
         first.coordinator.shard_records.grant("north.0", after.token, "n1", world.controllers["n1"].coordinator.lease)
@@ -221,7 +221,7 @@
         reply = first.route(*poll)
         assert (reply.status, reply.close_connection) == (503, True)
         for peer in first.peer_exchange.peers.values():
-            peer.at = -1e9  # as far as it knows nobody can answer: no use in connecting anew
+            peer.received_at = -1e9  # as far as it knows nobody can answer: no use in connecting anew
         assert not first.route(*poll).close_connection
 
 
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -206,7 +206,7 @@
         """Return why this controller can't decide on the job yet; None if it can."""
         if not self._machine_types() or not self._cache.loaded.is_set():
             return "not ready to decide"
-        if job.dependencies and not self._schema_version.pipelines:
+        if job.dependencies and not self._schema_version.supports_pipelines:
             # a controller of the version before pipelines would start the job at once
             return "not all controllers know pipelines yet"
         return None
@@ -218,7 +218,7 @@
             raise SubmissionRefusedError(400, "awaits names more jobs than a record holds")
         reason = (
             self._reason_never_runs(job.spec)
-            or (limits.reason_never_fits(job) if self._schema_version.pipelines else None)
+            or (limits.reason_never_fits(job) if self._schema_version.supports_pipelines else None)
             or self._reason_never_unblocked(job.dependencies)
         )
         if reason:
@@ -256,7 +256,7 @@
         if job.key != JOB_PREFIX + job.id:
             conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
-            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_PATIENCE_S)
+            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", retry_for_s=SUBMIT_PATIENCE_S)
         except ConflictError:
             return self.find(job.id) or unavailable_reply("try again")
         except OutcomeUnknownError:
--- a/tidebend/controller/autoscaling/cancelled_work.py
+++ b/tidebend/controller/autoscaling/cancelled_work.py
@@ -77,7 +77,7 @@
         InvalidMessageError for a response of the cloud that can't be read.
         """
         held_shards = {grant.shard for grant in self._coordinator.grants()}
-        peer_contacts = [peer.at for peer in self._peer_exchange.peers.values()]
+        peer_contacts = [peer.received_at for peer in self._peer_exchange.peers.values()]
         with self._machine_registry.lock:
             contacts = {
                 machine.name: max(machine.last_heartbeat, machine.last_direct_answer)
@@ -134,4 +134,4 @@
 
     def _has_no_holder(self, shard: str, now: float) -> bool:
         peer = self._peer_exchange.peers.get(self._coordinator.holder(shard) or "")
-        return peer is None or now - peer.at > self._settings.lease_s
+        return peer is None or now - peer.received_at > self._settings.lease_s
--- a/tidebend/controller/autoscaling/tracked_machines.py
+++ b/tidebend/controller/autoscaling/tracked_machines.py
@@ -60,9 +60,9 @@
                     machine.type, machine.zone, machine.spot, machine.first_heartbeat
                 )
         for peer in peer_exchange.peers.values():
-            if now - peer.at < FRESH_EXCHANGES * peer_exchange.pause:
+            if now - peer.received_at < FRESH_EXCHANGES * peer_exchange.send_interval_s:
                 monitored_shards.update(peer.shards)
-            if now - peer.at > settings.lease_s:
+            if now - peer.received_at > settings.lease_s:
                 continue
             for row in machines_of(peer):
                 if row.released:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -88,7 +88,7 @@
             self._on_change,
             lock,
             watch_s=settings.controller_lease_s * WATCH_SHARE,
-            retry_s=WATCH_RETRY_SHARE * settings.lease_s,
+            retry_pause_s=WATCH_RETRY_SHARE * settings.lease_s,
         )
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
 
@@ -208,9 +208,9 @@
     def _on_change(self, key: str, value: Any, version: int) -> None:
         """Pass a changed record on to those who keep or watch it; called under the caches' lock."""
         self.job_cache.on_change(key, value, version)
-        if key == FORMAT and self.schema_version.pipelines:
+        if key == FORMAT and self.schema_version.supports_pipelines:
             # from now on the limits that are announced for the time after an upgrade may be in force
-            self.state.keep_within(self.settings.next_store_limits)
+            self.state.set_limits(self.settings.next_store_limits)
             self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
         if key.startswith((JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX, FINAL)):
--- a/tidebend/controller/peer_report.py
+++ b/tidebend/controller/peer_report.py
@@ -50,9 +50,9 @@
             state_as_of=time.time() - self._cache.age_s,
             machines=self._machines(),
             held_shards=[grant.shard for grant in self._coordinator.grants()],
-            holders=self._coordinator.table(),
+            holders=self._coordinator.holders(),
         )
-        if self._schema_version.pipelines:
+        if self._schema_version.supports_pipelines:
             frame = replace(
                 frame,
                 crash_looping_jobs=self._completions.crash_looping_jobs(),
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -119,9 +119,9 @@
                     self.cache.write(
                         {QUOTA_PREFIX + team: quotas.version},
                         [(QUOTA_PREFIX + team, quotas.pack(), None)],
-                        patience=patience,
+                        retry_for_s=patience,
                     )
-        if not self.cache.barrier(self.cache.state.timeout, "claim"):
+        if not self.cache.barrier(self.cache.client.timeout, "claim"):
             raise NotExecutedError("no read after a claim without an answer")
         for team, last_write in uncertain.items():
             if self._uncertain_teams.get(team) is last_write:  # otherwise there has been another one meanwhile
@@ -134,7 +134,7 @@
         while holders would collide over the common record of a team with many small jobs without any need.
         Raises `ConflictError` and the other errors of `WatchCache.write`.
         """
-        if not self.schema_version.pipelines:
+        if not self.schema_version.supports_pipelines:
             return
         for team in self.settings.teams.values():
             if self.job_cache.has_zone_quotas(team.name):
--- a/tidebend/controller/readiness.py
+++ b/tidebend/controller/readiness.py
@@ -58,7 +58,7 @@
         peers_with_recent_read = [
             time.time() - peer.as_of <= max_age_s + self._settings.max_clock_offset_s
             for peer in self._peer_exchange.peers.values()
-            if now - peer.at <= max_age_s
+            if now - peer.received_at <= max_age_s
         ]
         return not any(peers_with_recent_read)
 
--- a/tidebend/controller/records/final_transactions.py
+++ b/tidebend/controller/records/final_transactions.py
@@ -42,7 +42,7 @@
             return self._delete_chunks(job, new, {number: versions[number] for number in numbers}, usage)
         keys = [chunk_key(job.id, number) for number in versions]
         state = CANCELLED if new.cancelled else DONE
-        final = pack_final(state, time.time(), not self._schema_version.pipelines)
+        final = pack_final(state, time.time(), not self._schema_version.supports_pipelines)
         return JobTransaction(
             new,
             {job.key: job.version, **dict(zip(keys, versions.values(), strict=True))},
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -75,7 +75,7 @@
     @property
     def writes_per_s(self) -> float:
         """Our share of the state service's writes per second."""
-        return self.cache.state.writes_per_s
+        return self.cache.client.writes_per_s
 
     def change(self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], patience: float = 1.0) -> Job | None:
         """Write one job's edit; None if there was nothing to write, or a condition failed.
@@ -107,7 +107,7 @@
 
     def _write_batch(self, batch: EditBatch, progress: _Progress, patience: float) -> None:
         try:
-            revision = self.cache.write(batch.conditions, list(batch.writes.values()), patience=patience)
+            revision = self.cache.write(batch.conditions, list(batch.writes.values()), retry_for_s=patience)
         except ConflictError as conflict:
             self._retry_after_conflict(batch, progress, conflict)
         except TransactionTooLargeError:
@@ -116,7 +116,7 @@
             # The write may have been executed, or may be later. A read shows what has been executed, and the next call
             # rules out what hasn't, by `settle_uncertain_writes`.
             self.quota_rebalancer.mark_uncertain({team for team, _ in batch.added})
-            self.cache.barrier(self.cache.state.timeout, "claim")
+            self.cache.barrier(self.cache.client.timeout, "claim")
             raise
         except LeaseNotFoundError as error:
             raise NotExecutedError("no such lease") from error
@@ -135,7 +135,7 @@
         retried = [edit for edit in batch.edits if not failed_keys & set(edit.conditions)]
         progress.remaining = retried + progress.remaining
         progress.max_writes = max(MIN_WRITES_AFTER_CONFLICT, progress.max_writes // 2)
-        if progress.remaining and not self.cache.barrier(self.cache.state.timeout, "claim"):
+        if progress.remaining and not self.cache.barrier(self.cache.client.timeout, "claim"):
             raise NotExecutedError("no read after a conflict") from conflict
 
     @staticmethod
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -56,7 +56,7 @@
         version before pipelines can't be split.
         """
         min_tasks = chunk_size(self.max_value_bytes) if job.spec.kind == "gang" else 1
-        return self.schema_version.pipelines and job.chunks is None and job.spec.tasks > min_tasks
+        return self.schema_version.supports_pipelines and job.chunks is None and job.spec.tasks > min_tasks
 
     def fits(self, job: Job, before: Job | None = None) -> bool:
         """Whether records with these allocations leave room for completions; `before`: what the job was made from."""
@@ -72,7 +72,7 @@
     def in_recorded_form(self, job: Job) -> Job:
         """Return a new job in the form in which it is kept: with chunks if it has too many tasks for one record."""
         tasks_per_chunk = chunk_size(self.max_value_bytes)
-        if self.schema_version.pipelines and job.spec.tasks > tasks_per_chunk:
+        if self.schema_version.supports_pipelines and job.spec.tasks > tasks_per_chunk:
             return replace(job, chunks=ChunkIndex(tasks_per_chunk))
         return job
 
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -66,7 +66,7 @@
             self._write_chunks(job, split_job, source_versions, patience)
             self._write_head(job, head, patience)
         except ConflictError:
-            self._cache.barrier(self._cache.state.timeout, "claim")
+            self._cache.barrier(self._cache.client.timeout, "claim")
             return False
         chunks = len(split_job.open_chunks) + split_job.finished_chunks.bit_count()
         log.info("job %s is kept in %d chunks from now on", job_id, chunks)
@@ -108,7 +108,7 @@
         ]
         max_writes = self._record_limits.max_writes
         while writes:
-            self._cache.write({job.key: job.version}, writes[:max_writes], patience=patience)
+            self._cache.write({job.key: job.version}, writes[:max_writes], retry_for_s=patience)
             writes = writes[max_writes:]
 
     def _write_head(self, job: Job, head: Job, patience: float) -> None:
@@ -119,4 +119,4 @@
             conditions[head.key] = 0
             writes.append(delete(job.key))
         writes.append(put(HEAD_PREFIX + job.id, head.pack()))
-        self._cache.write(conditions, writes, patience=patience)
+        self._cache.write(conditions, writes, retry_for_s=patience)
--- a/tidebend/controller/records/uncertain_starts.py
+++ b/tidebend/controller/records/uncertain_starts.py
@@ -32,7 +32,7 @@
         """Raise the token of each shard that we hold and that has starts to be ruled out."""
         now = time.monotonic()
         for grant in self._coordinator.grants():
-            grant_age_s = now - grant.since
+            grant_age_s = now - grant.acquired_at
             with self._machine_registry.lock:
                 has_uncertain_starts = self._has_uncertain_starts(grant, now)
                 kept_too_long = grant_age_s > self._max_kept_s and self._keeps_ended_tasks_too_long(grant, now)
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -99,7 +99,7 @@
         self, requests: list[TaskRequest], machines: dict[str, ScheduledMachine], now: float, clock: float
     ) -> None:
         """Stop what loses least, for waiting services of a higher priority that find no room now."""
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         ours = {shard_of(scheduled.candidate.zone) for scheduled in machines.values()}
         with_victims: list[MachineWithVictims] | None = None
         for request in requests:
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -182,7 +182,7 @@
     ) -> list[TaskRequest]:
         """Requests of pending jobs, none of which starts before it is our time to claim it."""
         candidates_by_image = _candidates_by_image(machines)
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         ours = {shard_of(scheduled.candidate.zone) for scheduled in machines}
         held = self.coordinator.held_zones()
         requests = []
@@ -229,7 +229,7 @@
         ready.
         """
         lost = self.coordinator.unreachable_zones()
-        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost)
+        shards = sorted(shard for shard in self.coordinator.holders() if zone_of(shard) not in lost)
         if not lost or not shards:
             return []
         ours = {grant.shard for grant in self.coordinator.grants()}
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -110,8 +110,8 @@
         }
 
     def _is_out_of_touch(self, node: str) -> bool:
-        silent_s = time.monotonic() - self._peer_exchange.peers[node].at
-        return silent_s > SILENT_EXCHANGES * self._peer_exchange.pause
+        silent_s = time.monotonic() - self._peer_exchange.peers[node].received_at
+        return silent_s > SILENT_EXCHANGES * self._peer_exchange.send_interval_s
 
     def check_zones(self) -> None:
         """Evaluate the rounds that are complete and begin new ones; to be called about once a second."""
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -120,7 +120,7 @@
         self.schema_version.announce()
         term = self.term
         if term is not None:
-            self.schema_version.raise_if_all_read({LEADER: term})
+            self.schema_version.upgrade_if_all_support({LEADER: term})
 
     # Our lease
 
@@ -156,7 +156,7 @@
         """Who holds a shard, as far as we or our peers know."""
         return self.holdings.holder(shard)
 
-    def table(self) -> dict[str, ShardHolder]:
+    def holders(self) -> dict[str, ShardHolder]:
         """Who holds which shard, by the records."""
         return self.shard_records.holders()
 
--- a/tidebend/coordination/peer_exchange.py
+++ b/tidebend/coordination/peer_exchange.py
@@ -30,7 +30,7 @@
 class PeerState:
     """What a peer's last frame said."""
 
-    at: float = NEVER  # steady time at which the frame came
+    received_at: float = NEVER  # steady time at which the frame came
     as_of: float = NEVER  # time of day at which the peer's last completed read of the key-value store began
     machines: Sequence[PeerMachine] | None = None  # None: no frame has come yet
     shards: frozenset[str] = frozenset()  # those it holds
@@ -45,7 +45,7 @@
         self.shards = frozenset(frame.held_shards)
         self.crash_looping_jobs = frozenset(frame.crash_looping_jobs or ())
         self.report_times = {shard: now - age_s for shard, age_s in (frame.report_ages_s or {}).items()}
-        self.at = now
+        self.received_at = now
 
 
 class PeerExchange:
@@ -61,12 +61,12 @@
         self.settings = settings
         self._make_frame = make_frame
         self._on_holders = on_holders
-        self.pause = min(MAX_PAUSE_S, settings.report_s / 2.0)  # seconds from one frame to the next
+        self.send_interval_s = min(MAX_PAUSE_S, settings.report_s / 2.0)  # seconds from one frame to the next
         self.peers: dict[str, PeerState] = {peer.name: PeerState() for peer in settings.peers}
 
     def start(self) -> None:
         """Listen for the peers' frames, and start a thread for each peer that sends ours."""
-        server = FrameServer(self.settings.peer_listen, self.receive, IDLE_PAUSES * self.pause)
+        server = FrameServer(self.settings.peer_listen, self.receive, IDLE_PAUSES * self.send_interval_s)
         threading.Thread(target=server.serve_forever, name="peers", daemon=True).start()
         for peer in self.settings.peers:
             threading.Thread(target=self._send, args=(peer,), name=f"to-{peer.name}", daemon=True).start()
@@ -91,7 +91,7 @@
         """Jobs that failed wherever some other controller tried them, by frames no older than a worker's lease."""
         now = time.monotonic()
         return frozenset().union(
-            *(peer.crash_looping_jobs for peer in self.peers.values() if now - peer.at < self.settings.lease_s)
+            *(peer.crash_looping_jobs for peer in self.peers.values() if now - peer.received_at < self.settings.lease_s)
         )
 
     def has_reported_holding(self, node: str, shard: str) -> bool:
@@ -115,10 +115,10 @@
                 if stream is not None:
                     stream.close()
                     stream = None
-            time.sleep(self.pause * random.uniform(0.8, 1.2))
+            time.sleep(self.send_interval_s * random.uniform(0.8, 1.2))
 
     def _connect(self, peer: Peer) -> socket.socket:
-        timeout_s = TIMEOUT_PAUSES * self.pause
+        timeout_s = TIMEOUT_PAUSES * self.send_interval_s
         stream = socket.create_connection(peer.address, timeout=timeout_s)
         stream.settimeout(timeout_s)
         return stream
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -30,10 +30,10 @@
 class SchemaVersion:
     """The format in force, as of the cache, and what is done to raise it."""
 
-    def __init__(self, settings: Settings, state: KeyValueClient, cache: WatchCache) -> None:
+    def __init__(self, settings: Settings, client: KeyValueClient, cache: WatchCache) -> None:
         """The controllers whose announcements are waited for are those of the settings."""
         self.settings = settings
-        self.state = state
+        self.client = client
         self.cache = cache
         self._has_logged_version = False
 
@@ -44,7 +44,7 @@
         return _version_in_force(value)
 
     @property
-    def pipelines(self) -> bool:
+    def supports_pipelines(self) -> bool:
         """Whether records may hold what came with pipelines."""
         return self.version >= PIPELINES
 
@@ -62,7 +62,7 @@
             self._put(key, ReadsRecord(NEWEST).pack(), {key: version})
             log.info("announced that this process reads up to schema version %d", NEWEST)
 
-    def raise_if_all_read(self, leader: Mapping[str, int]) -> None:
+    def upgrade_if_all_support(self, leader: Mapping[str, int]) -> None:
         """Raise the format if all controllers read it; `leader` is the condition that we still lead.
 
         Raises as the client does.
--- a/tidebend/coordination/shard_assignment.py
+++ b/tidebend/coordination/shard_assignment.py
@@ -121,7 +121,9 @@
             self._assign_shard(shard, records.get(shard), cluster, shards_held, now)
 
     def _read_cluster(self, now: float) -> Cluster:
-        live = {key[len(NODE) :]: NodeRecord.unpack(value) for key, (value, _) in self._cache.under(NODE).items()}
+        live = {
+            key[len(NODE) :]: NodeRecord.unpack(value) for key, (value, _) in self._cache.get_by_prefix(NODE).items()
+        }
         self._live_since = {name: self._live_since.get(name, now) for name in live}
         return Cluster(self._names, live, frozenset(self._exposed(now)))
 
--- a/tidebend/coordination/shards.py
+++ b/tidebend/coordination/shards.py
@@ -38,7 +38,7 @@
 
     shard: str
     token: int
-    since: float  # steady time from which we act on it
+    acquired_at: float  # steady time from which we act on it
     held_since: float  # ... and from which we have held the shard without a break, under earlier tokens too
 
 
@@ -61,7 +61,7 @@
         """The records by shard, as of the cache."""
         return {
             key[len(SHARD) :]: VersionedShardRecord(ShardRecord.unpack(value), version)
-            for key, (value, version) in self._cache.under(SHARD).items()
+            for key, (value, version) in self._cache.get_by_prefix(SHARD).items()
         }
 
     def get(self, shard: str) -> VersionedShardRecord | None:
--- a/tidebend/coordination/zone_suspicion.py
+++ b/tidebend/coordination/zone_suspicion.py
@@ -160,5 +160,5 @@
         return None if value is None else ZoneRecord.unpack(value)
 
     def _unreachable_by_node(self) -> list[tuple[str, ...]]:
-        records = self._cache.under(NODE).values()
+        records = self._cache.get_by_prefix(NODE).values()
         return [NodeRecord.unpack(value).unreachable_shards for value, _ in records]
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -56,7 +56,7 @@
     body: Any = None
     writes: int = 0  # how many changes it makes
     timeout_s: float | None = None  # None: that of the client
-    retry_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
+    retry_for_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
 
 
 class KeyValueClient:
@@ -85,29 +85,29 @@
         return self._budget.watch_pause_s
 
     @property
-    def poll_pause_s(self) -> float:
+    def poll_read_interval_s(self) -> float:
         """How far apart reads for polls alone begin."""
-        return self._budget.poll_pause_s
+        return self._budget.poll_read_interval_s
 
     @property
     def writes_per_s(self) -> float:
         """How many changes we may make in a second."""
         return self._budget.writes_per_s
 
-    def keep_within(self, limits: StoreLimits) -> None:
+    def set_limits(self, limits: StoreLimits) -> None:
         """Take over other limits of the store."""
-        self._budget.keep_within(limits)
+        self._budget.set_limits(limits)
 
     def transact(
         self,
         conditions: dict[str, int],
         writes: list[Write],
         kind: str = RequestKind.CLAIM,
-        patience: float = DEFAULT_WRITE_RETRY_S,
+        retry_for_s: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
         """Make the changes, all or none, if each key of `conditions` has that version; returns the revision.
 
-        For `patience` seconds it is tried again if it is over budget or refused for its rate.
+        For `retry_for_s` seconds it is tried again if it is over budget or refused for its rate.
         Raises ConflictError, LeaseNotFoundError, TransactionTooLargeError, NotExecutedError or OutcomeUnknownError.
         """
         log.debug("%s: %d changes of %s", kind, len(writes), " ".join(key for key, _, _ in writes))
@@ -117,16 +117,16 @@
             RequestKind(kind),
             protocol.transaction(conditions, writes),
             writes=len(writes),
-            retry_s=patience,
+            retry_for_s=retry_for_s,
         )
         status, answer = self._call(request)
         if status == OK:
             return _parse(protocol.parse_revision, answer)
         raise _transaction_error(status, answer, len(writes))
 
-    def get(self, key: str, kind: str = RequestKind.POLL, patience: float = 0.0) -> VersionedValue:
+    def get(self, key: str, kind: str = RequestKind.POLL, retry_for_s: float = 0.0) -> VersionedValue:
         """The value and its version, ABSENT if there is no such key."""
-        status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), retry_s=patience))
+        status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), retry_for_s=retry_for_s))
         if status == NOT_FOUND:
             return ABSENT
         _expect_ok(status)
@@ -139,7 +139,7 @@
             protocol.range_path(prefix, after, ITEMS_PER_PAGE),
             RequestKind.CLAIM,
             timeout_s=PAGE_TIMEOUTS * self.timeout,
-            retry_s=PAGE_RETRY_S,
+            retry_for_s=PAGE_RETRY_S,
         )
         status, answer = self._call(request)
         _expect_ok(status)
@@ -155,7 +155,7 @@
             protocol.changes_path(prefix, revision, int(wait_s * 1000)),
             RequestKind(kind),
             timeout_s=wait_s + self.timeout,
-            retry_s=0.0 if wait_s else self._retry_s,
+            retry_for_s=0.0 if wait_s else self._retry_s,
         )
         status, answer = self._call(request)
         if status == GONE:
@@ -178,11 +178,11 @@
         return True
 
     def _lease_call(self, path: str, body: Any) -> tuple[int, Any]:
-        return self._call(_Request("POST", path, RequestKind.LEASE, body, retry_s=self._retry_s))
+        return self._call(_Request("POST", path, RequestKind.LEASE, body, retry_for_s=self._retry_s))
 
     def _call(self, request: _Request) -> tuple[int, Any]:
-        """The status and the answer; for `retry_s` a request that was not sent or refused is tried again."""
-        deadline = time.monotonic() + request.retry_s
+        """The status and the answer; for `retry_for_s` a request that was not sent or refused is tried again."""
+        deadline = time.monotonic() + request.retry_for_s
         if request.kind == RequestKind.SUBMIT and not self._budget.take_submissions(request.writes):
             raise OverBudgetError
         while True:
--- a/tidebend/kvclient/read_barrier.py
+++ b/tidebend/kvclient/read_barrier.py
@@ -25,10 +25,10 @@
     for leases, claims and submissions.
     """
 
-    def __init__(self, read: Callable[[RequestKind], None], poll_pause_s: Callable[[], float]) -> None:
-        """`read` makes one read and raises as the client does; `poll_pause_s`: the pause before a read for polls."""
+    def __init__(self, read: Callable[[RequestKind], None], poll_read_interval_s: Callable[[], float]) -> None:
+        """`read` makes one read and raises as the client does; `poll_read_interval_s`: between reads for polls."""
         self._read = read
-        self._poll_pause_s = poll_pause_s
+        self._poll_read_interval_s = poll_read_interval_s
         self._changed = threading.Condition()
         # numbers of reads, under the condition's lock: wanted by those who wait, begun last, ended last either way
         self._wanted = self._begun = self._succeeded = self._failed = 0
@@ -57,7 +57,7 @@
         """Make the reads that are wanted, for ever."""
         while True:
             number, kind = self._begin()
-            self._next_poll_at = time.monotonic() + self._poll_pause_s()
+            self._next_poll_at = time.monotonic() + self._poll_read_interval_s()
             if kind == RequestKind.POLL and self._failed_in_a_row >= MAX_FAILED_READS:
                 kind = RequestKind.CLAIM  # guards against polls that wait behind claims for as long as these go on
             self._end(number, self._try_read(kind))
--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -42,7 +42,7 @@
         self._busy_until = NEVER  # steady time
         self._set_pauses(limits)
 
-    def keep_within(self, limits: StoreLimits) -> None:
+    def set_limits(self, limits: StoreLimits) -> None:
         """Take over other limits of the store."""
         self._requests.change(limits.rps * self._share)
         self._writes.change(limits.write_rps * self._share)
@@ -51,13 +51,13 @@
 
     def _set_pauses(self, limits: StoreLimits) -> None:
         self.watch_pause_s = self._controllers / (WATCH_SHARE * limits.rps)
-        self._poll_pause_s = self._controllers / (POLL_SHARE * limits.rps)
-        self._busy_poll_pause_s = self._controllers / (POLL_SHARE_BUSY * limits.rps)
+        self._poll_read_interval_s = self._controllers / (POLL_SHARE * limits.rps)
+        self._busy_poll_read_interval_s = self._controllers / (POLL_SHARE_BUSY * limits.rps)
 
     @property
-    def poll_pause_s(self) -> float:
+    def poll_read_interval_s(self) -> float:
         """How far apart reads for polls alone begin."""
-        return self._busy_poll_pause_s if time.monotonic() < self._busy_until else self._poll_pause_s
+        return self._busy_poll_read_interval_s if time.monotonic() < self._busy_until else self._poll_read_interval_s
 
     @property
     def writes_per_s(self) -> float:
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -32,14 +32,14 @@
 
     def __init__(
         self,
-        state: KeyValueClient,
+        client: KeyValueClient,
         on_change: Callable[[str, Any, int], None],
         lock: threading.RLock,
         watch_s: float,
-        retry_s: float,
+        retry_pause_s: float,
     ) -> None:
-        """`watch_s`: for so long a watch waits; `retry_s`: from a failed one to the next, give or take half."""
-        self.state = state
+        """`watch_s`: for so long a watch waits; `retry_pause_s`: from a failed one to the next, give or take half."""
+        self.client = client
         self.lock = lock
         self.loaded = threading.Event()  # set once everything has been read
         self.watched = NEVER  # steady time at which the watch last brought an answer
@@ -49,11 +49,11 @@
         self.as_of = NEVER
         self.watch_s = watch_s
         self._on_change = on_change
-        self._retry_s = retry_s
+        self._retry_pause_s = retry_pause_s
         self._items: dict[str, VersionedValue] = {}
         self._tombstones = Tombstones()
         self._revision = 0  # up to which all changes are in the cache
-        self.read_barrier = ReadBarrier(lambda kind: self.catch_up(0.0, kind), lambda: self.state.poll_pause_s)
+        self.read_barrier = ReadBarrier(lambda kind: self.catch_up(0.0, kind), lambda: self.client.poll_read_interval_s)
 
     def start(self) -> None:
         """Start the threads that watch and that read on demand."""
@@ -76,7 +76,7 @@
         with self.lock:
             return self._items.get(key, ABSENT)
 
-    def under(self, prefix: str) -> dict[str, VersionedValue]:
+    def get_by_prefix(self, prefix: str) -> dict[str, VersionedValue]:
         """The values and versions of all keys with a prefix; looks at each key of the cache."""
         with self.lock:
             return {key: item for key, item in self._items.items() if key.startswith(prefix)}
@@ -118,11 +118,11 @@
         conditions: dict[str, int],
         writes: list[Write],
         kind: str = RequestKind.CLAIM,
-        patience: float = DEFAULT_WRITE_RETRY_S,
+        retry_for_s: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
         """Change the records, then the cache by the same changes; raises as `KeyValueClient.transact` does."""
         with self._request_under_way():
-            revision = self.state.transact(conditions, writes, kind, patience)
+            revision = self.client.transact(conditions, writes, kind, retry_for_s)
             with self.lock:
                 # Guards against an answer that a read has overtaken: the cache has this change already, and what has
                 # become of it since. A snapshot names no deletions, so that a job that was over by then came back for
@@ -137,7 +137,7 @@
         with self._request_under_way():
             with self.lock:
                 revision = self._revision
-            result = self.state.changes(PREFIX, revision, wait_s, kind) if self.loaded.is_set() else None
+            result = self.client.changes(PREFIX, revision, wait_s, kind) if self.loaded.is_set() else None
             if result is None:
                 began = time.monotonic()
                 self._load()
@@ -151,7 +151,7 @@
 
     def _load(self) -> None:
         """Read everything, and drop what isn't there any more."""
-        snapshot = read_snapshot(self.state)
+        snapshot = read_snapshot(self.client)
         with self.lock:
             self.apply(self._changes_to(snapshot))
             self._revision = max(self._revision, snapshot.revision)
@@ -172,10 +172,10 @@
             try:
                 self.catch_up(self.watch_s, RequestKind.CLAIM)
                 self.watched = time.monotonic()
-                time.sleep(self.state.watch_pause_s)
+                time.sleep(self.client.watch_pause_s)
             except (NotExecutedError, OutcomeUnknownError) as error:
                 log.info("watch: %s", error)
-                time.sleep(random.uniform(0.5, 1.5) * self._retry_s)
+                time.sleep(random.uniform(0.5, 1.5) * self._retry_pause_s)
 
     def barrier(self, timeout: float, kind: str = RequestKind.POLL) -> bool:
         """Bring the cache up to a read begun after this call; False if it failed or `timeout` seconds passed.
