--- a/tidebend/cluster_state/machine.py
+++ b/tidebend/cluster_state/machine.py
@@ -88,7 +88,7 @@
     def _apply_state(self, report: Report, now: float) -> None:
         self.session, self.sequence, self.token = report.session, report.sequence, report.token
         self.address = report.address or self.address
-        self.reclaim_at = None if report.notice_s is None else now + report.notice_s
+        self.reclaim_at = None if report.reclaim_in_s is None else now + report.reclaim_in_s
         self.needs_reconciliation = True
         self.tasks = {(task.job, task.index, task.attempt): task for task in report.tasks}
         for key, task in self.tasks.items():
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -115,7 +115,7 @@
             "POST",
             protocol.PATH_TRANSACTION,
             RequestKind(kind),
-            protocol.transaction(conditions, writes),
+            protocol.transaction_request(conditions, writes),
             writes=len(writes),
             retry_for_s=retry_for_s,
         )
--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -86,7 +86,7 @@
     parse_lease,
     parse_revision,
     range_path,
-    transaction,
+    transaction_request,
 )
 
 __all__ = [
@@ -161,5 +161,5 @@
     "rental_request",
     "report_answer",
     "task_name",
-    "transaction",
+    "transaction_request",
 ]
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -171,7 +171,7 @@
     session: int  # grows each time the worker's lease expires
     sequence: int  # grows with each message of the worker; of the same session, the greater one is newer
     token: int  # the highest fencing token that the worker has seen
-    notice_s: float | None  # seconds until the cloud takes the machine back; None: not announced
+    reclaim_in_s: float | None  # seconds until the cloud takes the machine back; None: not announced
     tasks: tuple[TaskReport, ...]
 
 
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -84,7 +84,7 @@
         session=counter_field(body, "watch"),
         sequence=counter_field(body, "tally"),
         token=counter_field(body, "helm"),
-        notice_s=None if notice is None else number_field(body, "warningS", LEAST_NOTICE_S),
+        reclaim_in_s=None if notice is None else number_field(body, "warningS", LEAST_NOTICE_S),
         tasks=tasks,
     )
 
--- a/tidebend/protocol/state.py
+++ b/tidebend/protocol/state.py
@@ -49,7 +49,7 @@
     return {"put": key, "v": value, "mooring": lease}
 
 
-def transaction(conditions: dict[str, int], writes: list[Write]) -> dict[str, Any]:
+def transaction_request(conditions: dict[str, int], writes: list[Write]) -> dict[str, Any]:
     """The body of a transaction: executed as a whole if each key has its version still (0: isn't there)."""
     return {
         "if": [{"k": key, "stamp": version} for key, version in conditions.items()],
--- a/tidebend/protocol/worker.py
+++ b/tidebend/protocol/worker.py
@@ -127,7 +127,7 @@
     session: int,
     sequence: int,
     token: int,
-    notice_s: float | None,
+    reclaim_in_s: float | None,
     tasks: list[Task],
 ) -> dict[str, Any]:
     """The body of a report; the arguments are the fields of `Report`, with `address` as `HOST:PORT`."""
@@ -140,6 +140,6 @@
         "watch": session,
         "tally": sequence,
         "helm": token,
-        "warningS": notice_s,
+        "warningS": reclaim_in_s,
         "pieces": [task.row() for task in tasks],
     }
