--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -114,7 +114,7 @@
     for tick in range(60):  # one becomes idle each second
         surplus = [Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")]
         autoscaler.scale_in.release(surplus, now + tick)
-    pause_s = settings.controllers / (scale_in.CALLS_SHARE * settings.cloud_rps)
+    pause_s = settings.controller_count / (scale_in.CALLS_SHARE * settings.cloud_rps)
     assert 0.5 * 60 / pause_s <= len(calls) <= 60 / pause_s + 1
     assert all(len(names) == 2 for names in calls)
 
@@ -152,16 +152,16 @@
 def test_sockets_are_shared_out_by_the_settings(world, most):
     settings = replace(world.controllers["n0"].settings, max_sockets=most)
     ours = (
-        connection_limits.kept(settings)
-        + connection_limits.asking(settings)
-        + connection_limits.backlog(settings)
+        connection_limits.max_idle_worker_connections(settings)
+        + connection_limits.unresponsive_threads(settings)
+        + connection_limits.listen_backlog(settings)
         + 4 * len(settings.peers)
     )
-    assert connection_limits.threads(settings) + connection_limits.asking(settings) <= 2000
-    assert connection_limits.threads(settings) > 1600  # however many sockets there are
-    assert connection_limits.incoming(settings) >= most // 2
+    assert connection_limits.connection_threads(settings) + connection_limits.unresponsive_threads(settings) <= 2000
+    assert connection_limits.connection_threads(settings) > 1600  # however many sockets there are
+    assert connection_limits.max_incoming_connections(settings) >= most // 2
     if most >= 600:
-        assert connection_limits.incoming(settings) + ours < most
+        assert connection_limits.max_incoming_connections(settings) + ours < most
 
 
 def test_direct_commands_keep_no_more_connections_than_their_share(world):
@@ -186,7 +186,7 @@
     assert command_dispatcher._unresponsive.qsize() == 500  # none is left out
     while command_dispatcher.send_next():
         pass
-    kept = connection_limits.kept(world.controllers["n0"].settings)
+    kept = connection_limits.max_idle_worker_connections(world.controllers["n0"].settings)
     assert len(command_dispatcher._clients) == kept
     assert len(closed) == 500 - kept
 
@@ -232,7 +232,7 @@
 
     cache = WatchCache(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     cache.catch_up(0.0, "claim")
-    assert not cache.under(LIVE)
+    assert not cache.get_by_prefix(LIVE)
     cache.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
     assert len(cache._tombstones) == 0  # no request is under way that could undo them
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -10,10 +10,9 @@
 
 from simulation.world import World
 from tests.test_scenarios import JOB
-from tidebend.autoscaling import Offer, Rental
+from tidebend.autoscaling import Offer, ProvisionRequest
 from tidebend.cluster_state.allocations import Allocation
-from tidebend.cluster_state.job_records import JOB as JOB_KEY
-from tidebend.cluster_state.job_records import Job
+from tidebend.cluster_state.job_records import JOB_PREFIX, Job
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.reconciliation import commands_for
 from tidebend.cluster_state.record_chunks import ChunkIndex
@@ -55,7 +54,7 @@
 def old_world(monkeypatch):
     """The format is never raised: teams have the records that the version before pipelines keeps."""
     monkeypatch.setattr(
-        "tidebend.coordination.schema_version.SchemaVersion.raise_if_all_read", lambda self, leader: None
+        "tidebend.coordination.schema_version.SchemaVersion.upgrade_if_all_support", lambda self, leader: None
     )
     yield from begun()
 
@@ -95,10 +94,10 @@
     def edit(job, usage):
         free = job.pending & tasks
         if not free or not controller.settings.teams["team"].allows(
-            *[getattr(usage.plus(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
+            *[getattr(usage.with_tasks_allocated(job.spec, free.bit_count()), part) for part in ("cpus", "gpus")]
         ):
             return None
-        return job.with_allocations([Allocation(machine, 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation(machine, 1, job.last_attempt + 1, free, 0.0, "north")])
 
     return controller.job_writer.change(name, edit, conditions or {})
 
@@ -112,7 +111,7 @@
 def test_a_stale_holder_claims_nothing_of_a_job_that_was_cancelled(world):
     first, second = stale_pair(world, a=spec())
     record = replace(first.job_cache.get("a"), cancelled=True).pack()
-    world.state.transact({"if": [], "writes": [{"put": JOB_KEY + "a", "v": record}]})
+    world.state.transact({"if": [], "writes": [{"put": JOB_PREFIX + "a", "v": record}]})
     assert allocation(second, "a", "vm-000001", 1) is None
 
 
@@ -142,7 +141,7 @@
     places = first.scheduling_loop.free_capacity.usable_machines(now, time.time())
     name = next(name for name, scheduled in places.items() if scheduled.candidate.zone == "north")
     first.scheduling_loop.allocator.allocate({"a": [Placement("a", name, 2, now, now + 1, True)]}, places)
-    assert first.job_cache.get("a").per_zone() == {"north": 1}
+    assert first.job_cache.get("a").allocated_by_zone() == {"north": 1}
 
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
@@ -170,7 +169,7 @@
     machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False)}
     machine.needs_reconciliation, confirmed = True, machine.token
     machine.token = confirmed - 1
-    first.scheduling_loop.completions.recorder.gather_s = 0.0
+    first.scheduling_loop.completions.recorder.batch_delay_s = 0.0
     first.scheduling_loop.mapping_event()
     assert first.job_cache.get("a").allocations
     machine.token = confirmed
@@ -275,7 +274,7 @@
     allocations = tuple(
         Allocation(f"vm-{n:06d}", 1, 1 + n // 40, 0b1111 << 4 * n, 1e9 + n // 40, "palermo") for n in range(150)
     )
-    job = Job("req-a", 1, spec(pieces=600), 0.0, allocations=allocations, started=4)
+    job = Job("req-a", 1, spec(pieces=600), 0.0, allocations=allocations, last_attempt=4)
     assert packed_bytes(job.pack()) < 0.75 * 8192
     assert Job.unpack("req-a", json.loads(json.dumps(job.pack())), 1) == job
 
@@ -307,7 +306,7 @@
             "a", lambda job, _, ended=ended: first.scheduling_loop.completions.job_with_completions(job, _, ended), {}
         )
     after = first.job_cache.get("a")
-    assert (after.done, after.charged, after.started) == (done, job.charged, job.started)
+    assert (after.done, after.charged, after.last_attempt) == (done, job.charged, job.last_attempt)
     second.cache.catch_up(0.0, "claim")
     assert replace(second.job_cache.get("a"), chunks=None) == replace(after, chunks=None)
     # cancelled, its parts go first and the team's record is as if it had never been
@@ -325,7 +324,7 @@
     world.state.limits["value_kb"], first.record_limits.max_value_bytes = 1.0, 1024
 
     def edit(job, usage):
-        return job.with_allocations([Allocation("vm-000000", 1, job.started + 1, 1, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000000", 1, job.last_attempt + 1, 1, 0.0, "north")])
 
     assert list(first.job_writer.change_all([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
     assert not first.job_cache.get("a").allocations
@@ -342,7 +341,7 @@
             assert allocation(second, "a", "vm-000001", 0b10) is not None
             first.cache.catch_up(0.0, "claim")
         free = job.pending & 0b110
-        return job.with_allocations([Allocation("vm-000002", 1, job.started + 1, free, 0.0, "north")])
+        return job.with_allocations([Allocation("vm-000002", 1, job.last_attempt + 1, free, 0.0, "north")])
 
     assert first.job_writer.change("a", edit, {})
     held = {allocation.machine: allocation.tasks for allocation in first.job_cache.get("a").allocations}
@@ -357,13 +356,13 @@
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks(ended, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks(ended, 1), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 8.0)
     second.cache.catch_up(0.0, "claim")
     assert allocation(second, "b", "vm-000001", 3) is None  # only one more fits
     assert allocation(second, "b", "vm-000001", 1) is not None
     first.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 2}, 2), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 2}, 2), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 4.0)
     second.cache.catch_up(0.0, "claim")
     assert second.job_cache.team("team").cpus == 4.0
@@ -373,7 +372,7 @@
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     second.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 1), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 1), {})
     assert second.job_cache.team("team").cpus == 8.0
     assert allocation(second, "b", "vm-000001", 1) is None
 
@@ -384,7 +383,7 @@
 def shared(world, **limit):
     """Two controllers that hold a zone each, and a team with that limit in shares, all of it free."""
     pair = stale_pair(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
-    assert pair[0].job_cache.team("team").shares
+    assert pair[0].job_cache.team("team").zone_quotas
     return pair
 
 
@@ -409,9 +408,11 @@
 
     def edit(job, usage):
         wanted = job.pending & tasks
-        if not controller.settings.teams["team"].allows(usage.plus(job.spec, wanted.bit_count()).cpus, 0.0):
+        if not controller.settings.teams["team"].allows(
+            usage.with_tasks_allocated(job.spec, wanted.bit_count()).cpus, 0.0
+        ):
             return None
-        return job.with_allocations([Allocation(f"vm-{zone}", 1, job.started + 1, wanted, 0.0, zone)])
+        return job.with_allocations([Allocation(f"vm-{zone}", 1, job.last_attempt + 1, wanted, 0.0, zone)])
 
     return controller.job_writer.change(name, edit, dict([controller.coordinator.condition(grant)]))
 
@@ -421,7 +422,7 @@
     assert claim_in(first, "north", "a", 0b111) is not None
     assert claim_in(second, "south", "b", 0b11111111) is None  # only five are left, as it learns by the conflict
     assert claim_in(second, "south", "b", 0b1) is not None
-    shares = second.job_cache.team("team").shares
+    shares = second.job_cache.team("team").zone_quotas
     assert sum(row[0] for row in shares.zones.values()) <= 8.0
     # within its share a claim changes nothing but the job, so that it collides with nobody
     before = world.state.revision
@@ -441,7 +442,7 @@
     """Two jobs' claims within one share don't compare each other's records: the late one must not come on top."""
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None
-    share = int(first.job_cache.team("team").shares.zones["north"][0])
+    share = int(first.job_cache.team("team").zone_quotas.zones["north"][0])
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
         claim_in(first, "north", "a", (1 << share) - 1)
     assert claim_in(first, "north", "b", (1 << share - 1) - 1) is not None
@@ -455,17 +456,17 @@
     old_world.state.transact({"if": [], "writes": [{"put": "tidebend/live/format", "v": {"version": 2}}]})
     first.cache.catch_up(0.0, "claim")
     first.quota_rebalancer.establish_quotas()
-    assert first.job_cache.team("team").shares.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
-    assert second.job_cache.team("team").shares is None
+    assert first.job_cache.team("team").zone_quotas.zones == {"north": (1.0, 0.0), "south": (0.0, 0.0)}
+    assert second.job_cache.team("team").zone_quotas is None
     assert allocation(second, "b", "vm-000001", 1) is not None  # by the shares, that it learns of by the conflict
-    assert second.job_cache.team("team").shares
+    assert second.job_cache.team("team").zone_quotas
 
 
 def test_several_jobs_go_into_one_transaction_and_share_their_teams_record(world):
     first, _ = stale_pair(world, a=spec(pieces=1), b=spec(pieces=1), c=spec(pieces=1))
 
     def make(job, usage):
-        if not first.settings.teams["team"].allows(usage.plus(job.spec, 1).cpus, 0.0):
+        if not first.settings.teams["team"].allows(usage.with_tasks_allocated(job.spec, 1).cpus, 0.0):
             return None
         return job.with_allocations([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
 
@@ -480,13 +481,13 @@
     team's usage look smaller than it is."""
     first, second = stale_pair(old_world, a=spec(), b=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
-    assert first.job_writer.change("a", lambda job, _: job.without_tasks({("vm-000000", 1, 1): 1}, 0), {})
+    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
 
     def paged(prefix, after):
         rows, _, revision = whole(prefix, None)
         if after is None:
-            page = [row for row in rows if row[0] <= JOB_KEY + "a"]
+            page = [row for row in rows if row[0] <= JOB_PREFIX + "a"]
             # between the pages the job ends for good, and its team's record with it
             assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
             return page, True, revision
@@ -504,8 +505,8 @@
     box = leader.autoscaler.types["box"]
     scarce, plenty = Offer(box, "north", True), Offer(box, "north", False)
     monkeypatch.setattr(
-        "tidebend.controller.autoscaling.scale_out.to_rent",
-        lambda *args, **more: [Rental(scarce, 5), Rental(plenty, 1)],
+        "tidebend.controller.autoscaling.scale_out.plan_provisioning",
+        lambda *args, **more: [ProvisionRequest(scarce, 5), ProvisionRequest(plenty, 1)],
     )
     asked = []
     scale_out.provisioner.provision = lambda term, offer, machines: asked.append(offer)
@@ -546,7 +547,7 @@
         rows.append(MachineWithVictims(place, machine, (0.0, 0.0, 31.0), [victim]))
     made = spec(shape="service", rank="critical", vcpus=2.0, driftwood=False)
     want = TaskRequest("req-s", made, value_of(own_demand(made, 0.0, 1.0), 0.0, 1.0), 1.0, 1, avoids_gpus=True)
-    scheduling_loop.preemptor.make_room_for(want, 3, list(rows), 0.0)
+    scheduling_loop.preemptor.preempt_for(want, 3, list(rows), 0.0)
     assert [bool(row.machine.stop_requests) for row in rows] == [True, False]
 
 
@@ -562,7 +563,7 @@
     evacuation.evacuate(silent, now - 1.0, now)
     assert given_up == [["vm-000100"]]
     worth = first.settings.knobs.keep_idle * (10.0 + 20.0)  # the stand-in's boot and fetch
-    evacuation._next_turn_at = now  # its next turn
+    evacuation._next_step_at = now  # its next turn
     evacuation.evacuate(silent, now - worth - 1.0, now)
     assert given_up[1] == ["vm-000100", "vm-000101"]
 
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -17,13 +17,13 @@
 from tests.test_upgrade import kind, shape
 from tidebend.cluster_state.final_states import FinalState, pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
-from tidebend.cluster_state.record_chunks import CHUNK, Chunk, ChunkIndex
-from tidebend.cluster_state.task_bitmap import from_text
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX, Chunk, ChunkIndex
+from tidebend.cluster_state.task_bitmap import parse_ranges
 from tidebend.coordination.records import LEADER, NODE, SHARD, ZONE
 from tidebend.coordination.schema_version import FORMAT, READS
 from tidebend.kvclient import FINAL
-from tidebend.quota import QUOTA, TEAM, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
+from tidebend.quota import QUOTA_PREFIX, TEAM_PREFIX, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "stored_records.json").read_text())
 ZONES = ("north", "south", "west")
@@ -41,14 +41,17 @@
 
 
 def test_jobs_are_written_back_as_they_were():
-    records = [*SAMPLES["records"], *((key, value) for key, value in WRITTEN if key.startswith((JOB, HEAD)))]
-    assert {key.startswith(JOB) for key, _ in records} == {True, False}
+    records = [
+        *SAMPLES["records"],
+        *((key, value) for key, value in WRITTEN if key.startswith((JOB_PREFIX, HEAD_PREFIX))),
+    ]
+    assert {key.startswith(JOB_PREFIX) for key, _ in records} == {True, False}
     assert {name for _, value in records for name in value} == {
         *("spec", "at", "cancelled", "awaits", "ready", "parts", "started", "ended", "done", "claims")
     }
     for key, value in records:
         job = Job.unpack(key.rpartition("/")[2], value, 7)
-        if key.startswith(JOB) and "cancelled" in value:
+        if key.startswith(JOB_PREFIX) and "cancelled" in value:
             # the only field that is written otherwise than it was: see the next test
             value = {**value, "done": f"{value['done']},{job.spec.tasks}"}
         assert as_stored(job.pack()) == value
@@ -57,7 +60,7 @@
 
 
 def test_a_cancelled_record_of_the_first_format_holds_a_task_more_than_there_are_and_no_other_does():
-    cancelled = [value for key, value in SAMPLES["records"] if key.startswith(JOB) and "cancelled" in value]
+    cancelled = [value for key, value in SAMPLES["records"] if key.startswith(JOB_PREFIX) and "cancelled" in value]
     assert cancelled
     for value in cancelled:
         job = Job.unpack("req-a", value, 7)
@@ -65,19 +68,19 @@
             before = replace(job, done=done)
             assert before.needs_sealing
             written = as_stored(before.pack())
-            assert from_text(written["done"]) == done | 1 << job.spec.tasks
+            assert parse_ranges(written["done"]) == done | 1 << job.spec.tasks
             assert Job.unpack("req-a", written, 7) == replace(before, cancellation_sealed=True)
             assert not Job.unpack("req-a", written, 7).needs_sealing
             assert as_stored(Job.unpack("req-a", written, 7).pack()) == written
-            assert from_text(replace(before, cancelled=False).pack().get("done", "")) == done
+            assert parse_ranges(replace(before, cancelled=False).pack().get("done", "")) == done
             waited = replace(before, dependencies_done_at=1.0)
-            assert from_text(waited.pack().get("done", "")) == done
+            assert parse_ranges(waited.pack().get("done", "")) == done
 
 
 def test_chunks_are_written_back_as_they_were():
     chunks = list(SAMPLES["chunks"])
-    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD) if "parts" in value}
-    for name, value in recorded(CHUNK):
+    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD_PREFIX) if "parts" in value}
+    for name, value in recorded(CHUNK_PREFIX):
         job, _, number = name.rpartition("/")
         chunks.append([int(number) * sizes[job], value])
     assert {name for _, value in chunks for name in value} == {"started", "ended", "done", "claims", "source"}
@@ -90,15 +93,15 @@
 
 
 def test_teams_and_quotas_are_written_back_as_they_were():
-    for name, value in recorded(TEAM):
+    for name, value in recorded(TEAM_PREFIX):
         index = UsageIndex()
-        index.on_change(TEAM + name, value, 7)
+        index.on_change(TEAM_PREFIX + name, value, 7)
         usage = index.team(name)
         assert usage.version == 7
         assert as_stored(usage.pack()) == value
         assert usage.charged == tuple(value)
         assert usage == TeamUsage(*value, 7, QuotaAmount(*value))
-    for _, value in recorded(QUOTA):
+    for _, value in recorded(QUOTA_PREFIX):
         quotas = ZoneQuotas.unpack(value, 7)
         assert quotas.version == 7
         assert as_stored(quotas.pack()) == value
@@ -119,17 +122,17 @@
     usages = {" ".join(zones): cache.team("team", zones) for zones in ((), ("north",), ("south", "west"))}
     return as_stored(
         {
-            "jobs": {job.id: view_of_job(job) for job in cache.live()},
-            "finals": {name: cache.final(name) for name in names},
-            "dependents": {name: sorted(rows) for name, rows in cache.dependents().items()},
-            "unresolved": cache.unresolved(),
+            "jobs": {job.id: view_of_job(job) for job in cache.live_jobs()},
+            "finals": {name: cache.final_state(name) for name in names},
+            "dependents": {name: sorted(rows) for name, rows in cache.dependents_by_job().items()},
+            "unresolved": cache.missing_final_states(),
             "machines": {
-                machine: [[job.id, f"{allocation.tasks:x}"] for job, allocation in cache.on_machine(machine)]
-                for machine in sorted(cache.machines())
+                machine: [[job.id, f"{allocation.tasks:x}"] for job, allocation in cache.allocations_on(machine)]
+                for machine in sorted(cache.machines_with_allocations())
             },
             "team": {zones: [usage.cpus, usage.gpus, usage.version, usage.charged] for zones, usage in usages.items()},
             "used": {zone: cache.used("team", (zone,)) for zone in ZONES},
-            "chunk_versions": {job.id: cache.chunk_versions(job.id) for job in cache.live()},
+            "chunk_versions": {job.id: cache.chunk_versions(job.id) for job in cache.live_jobs()},
         }
     )
 
@@ -139,8 +142,8 @@
         "key": job.key,
         "pending": f"{job.pending:x}",
         "done": f"{job.done:x}",
-        "started": job.started,
-        "ended": job.ended,
+        "started": job.last_attempt,
+        "ended": job.ended_count,
         "charged": job.charged,
         "startable_since": job.startable_since,
         "blocked": job.blocked,
@@ -176,7 +179,10 @@
     return [(row["put"], row["v"]) for row in Scenario(path).run().state.changes if "put" in row]
 
 
-@pytest.mark.parametrize("prefix", [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM, QUOTA, FINAL, JOB, HEAD, CHUNK])
+@pytest.mark.parametrize(
+    "prefix",
+    [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM_PREFIX, QUOTA_PREFIX, FINAL, JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX],
+)
 def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
     def forms(rows):
         return {(kind(key), json.dumps(shape(value), default=str)) for key, value in rows if key.startswith(prefix)}
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -5,8 +5,8 @@
 import math
 from typing import NamedTuple
 
-from tidebend.autoscaling.capacity import Capacity, Offer, Rental
-from tidebend.scheduling import Amount, TaskRequest, need_of, times_fit
+from tidebend.autoscaling.capacity import Capacity, Offer, ProvisionRequest
+from tidebend.scheduling import Amount, TaskRequest, count_fitting_tasks, need_of
 
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
@@ -17,19 +17,23 @@
 LEAST_RUN_S = 0.1
 
 
-def to_rent(
-    requests: list[TaskRequest], capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]
-) -> list[Rental]:
+def plan_provisioning(
+    requests: list[TaskRequest],
+    capacities: list[Capacity],
+    offers: list[Offer],
+    now: float,
+    machines_by_zone: dict[str, int],
+) -> list[ProvisionRequest]:
     """Machines to rent for the requests, those that cost least for each task, in the order of first need.
 
-    `offers` leaves out what the cloud lately had none of; `now` is the time of day in seconds; `rank` spreads rentals
-    over the zones (fewest first): the machines that each zone has. Requests and capacities are changed: the tasks that
-    find room are counted in the requests' zones, and rented machines are added to the capacities.
+    `offers` leaves out what the cloud lately had none of; `now` is the time of day in seconds; `machines_by_zone`
+    spreads rentals over the zones (fewest first): the machines that each zone has. Requests and capacities are changed:
+    the tasks that find room are counted in the requests' zones, and rented machines are added to the capacities.
     """
-    plan = _RentalPlan(capacities, offers, now, rank)
+    plan = _RentalPlan(capacities, offers, now, machines_by_zone)
     for request in sorted(requests, key=_RequestRank.of):
         plan.serve(request)
-    return [Rental(offer, machines) for offer, machines in plan.machines.items()]
+    return [ProvisionRequest(offer, machines) for offer, machines in plan.machines.items()]
 
 
 class _RequestRank(NamedTuple):
@@ -42,7 +46,7 @@
 
     @classmethod
     def of(cls, request: TaskRequest) -> _RequestRank:
-        return cls(not request.service, -request.value.starting_value, request.value.soft_deadline, request.job)
+        return cls(not request.is_service, -request.value.starting_value, request.value.soft_deadline, request.job_id)
 
 
 class _OfferRank(NamedTuple):
@@ -79,12 +83,14 @@
 class _RentalPlan:
     """Promises existing capacity to requests one after the other, and rents for what is missing."""
 
-    def __init__(self, capacities: list[Capacity], offers: list[Offer], now: float, rank: dict[str, int]) -> None:
+    def __init__(
+        self, capacities: list[Capacity], offers: list[Offer], now: float, machines_by_zone: dict[str, int]
+    ) -> None:
         self.machines: dict[Offer, int] = {}  # to rent
         self._capacities = capacities
         self._offers = offers
         self._now = now
-        self._rank = rank
+        self._machines_by_zone = machines_by_zone
 
     def serve(self, request: TaskRequest) -> None:
         """Find room for a request's tasks, on existing machines as far as these serve it in time."""
@@ -95,9 +101,9 @@
             return  # it waits for others, and a machine would be up before they are done
         fitting_types = self._fitting_types(request)
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
-        by = max(self._slack_s(request), ready_in, 0.0 if request.service else boot_s)
+        by = max(self._slack_s(request), ready_in, 0.0 if request.is_service else boot_s)
         capacities, missing = self._capacities, self._missing_tasks(request)
-        if request.gang and not request.spec.spread:
+        if request.is_gang and not request.spec.spread:
             zone = self._zone_for_gang(request, offers, by, fitting_types)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
             offers = [offer for offer in offers if offer.zone == zone]
@@ -113,7 +119,7 @@
             and (spec.spot or not offer.spot)
             and offer.zone in offer.type.zones
             and spec.zone in (None, offer.zone)
-            and request.zone_room(offer.zone) > 0
+            and request.zone_headroom(offer.zone) > 0
             and not (request.avoids_gpus and offer.type.gpus > 0)
         ]
 
@@ -128,7 +134,7 @@
     def _missing_tasks(self, request: TaskRequest) -> int:
         """How many of the waiting tasks must run side by side for the job to make its soft deadline."""
         side_by_side = request.waiting
-        if not request.service and request.spec.kind != "gang":
+        if not request.is_service and request.spec.kind != "gang":
             left = request.value.soft_deadline - self._now
             rounds = max(1, math.floor(left / max(WRONG_BY * request.estimate, LEAST_RUN_S)))
             side_by_side = math.ceil(request.waiting / rounds)
@@ -136,7 +142,7 @@
 
     def _slack_s(self, request: TaskRequest) -> float:
         """Seconds that a request's tasks may wait for others to end; a service's replicas don't wait."""
-        if request.service:
+        if request.is_service:
             return 0.0
         until_latest_start = request.value.soft_deadline - self._now - WRONG_BY * request.estimate
         return max(0.0, min(SPARE * until_latest_start, request.start_by - self._now))
@@ -163,14 +169,14 @@
         room = {zone: 0 for zone in zones if request.spec.zone in (None, zone)}
         for capacity in self._capacities:
             if capacity.allowed(request.spec, fitting_types):
-                room[capacity.zone] += times_fit(capacity.room_by(by), need)
+                room[capacity.zone] += count_fitting_tasks(capacity.room_by(by), need)
         return room
 
     def _zone_rank(self, request: TaskRequest, zone: str, room: int, offers: list[Offer]) -> _ZoneRank:
         missing = max(0, request.waiting - room)
         price = min((offer.price for offer in offers if offer.zone == zone), default=math.inf)
         impossible = missing > 0 and price == math.inf
-        return _ZoneRank(impossible, missing, price, self._rank.get(zone, 0), zone)
+        return _ZoneRank(impossible, missing, price, self._machines_by_zone.get(zone, 0), zone)
 
     def _rent(self, request: TaskRequest, offers: list[Offer], missing: int) -> None:
         """Rent machines until no task is missing or none can be had."""
@@ -191,10 +197,10 @@
         """The offer that costs least for each task that fits; of equals the first. None if no task fits on any."""
         best: _BestOffer | None = None
         for offer in offers:
-            tasks = min(missing, times_fit(offer.whole, need), request.zone_room(offer.zone))
+            tasks = min(missing, count_fitting_tasks(offer.whole, need), request.zone_headroom(offer.zone))
             if tasks < 1:
                 continue
-            machines = self._rank.get(offer.zone, 0) + self.machines.get(offer, 0)
+            machines = self._machines_by_zone.get(offer.zone, 0) + self.machines.get(offer, 0)
             rank = _OfferRank(offer.price / tasks, machines, offer.type.boot_s, offer.type.name, offer.zone)
             if best is None or rank < best.rank:
                 best = _BestOffer(rank, offer, tasks)
@@ -209,7 +215,7 @@
             break
         if not capacity.allowed(request.spec, fitting_types):
             continue
-        tasks = min(missing, times_fit(capacity.room_by(by), need), request.zone_room(capacity.zone))
+        tasks = min(missing, count_fitting_tasks(capacity.room_by(by), need), request.zone_headroom(capacity.zone))
         if tasks > 0:
             capacity.take(need, tasks)
             request.add_to_zone(capacity.zone, tasks)
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -1,7 +1,7 @@
 """Jobs in their form in the state service.
 
-A job without dependencies whose record isn't split is stored under `JOB`, exactly as controllers of the first format
-version read and write it. Any other job is stored under `HEAD`, which those controllers don't look at.
+A job without dependencies whose record isn't split is stored under `JOB_PREFIX`, exactly as controllers of the first
+format version read and write it. Any other job is stored under `HEAD_PREFIX`, which those controllers don't look at.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from tidebend.cluster_state.allocations import pack_allocations, unpack_allocations
 from tidebend.cluster_state.chunked_jobs import ChunkedJob
 from tidebend.cluster_state.record_chunks import ChunkIndex
-from tidebend.cluster_state.task_bitmap import from_text, to_text
+from tidebend.cluster_state.task_bitmap import format_ranges, parse_ranges
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
 
 # key prefix of jobs in the first format version
-JOB = LIVE + "job/"
+JOB_PREFIX = LIVE + "job/"
 # key prefix of jobs with dependencies, former ones included, and of jobs whose record is split
-HEAD = LIVE + "head/"
+HEAD_PREFIX = LIVE + "head/"
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,19 +27,22 @@
     """A job with its form in records.
 
     Controllers of the first format version record a job as done once its bitmap of done tasks equals that of all its
-    tasks, even if it was cancelled before. To keep them from it, a cancelled job under `JOB` is recorded with one more
-    done task than it has tasks, which seals its cancellation. They keep that bit; it is removed when a record is read.
+    tasks, even if it was cancelled before. To keep them from it, a cancelled job under `JOB_PREFIX` is recorded with
+    one more done task than it has tasks, which seals its cancellation. They keep that bit; it is removed when a record
+    is read.
     """
 
     @property
     def key(self) -> str:
         """The key of its record."""
-        return (HEAD if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB) + self.id
+        return (
+            HEAD_PREFIX if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB_PREFIX
+        ) + self.id
 
     @property
     def needs_sealing(self) -> bool:
         """Whether the job is cancelled, and controllers of the first format version may still record it as done."""
-        return self.cancelled and not self.cancellation_sealed and self.key.startswith(JOB)
+        return self.cancelled and not self.cancellation_sealed and self.key.startswith(JOB_PREFIX)
 
     @property
     def _sealing_bit(self) -> int:
@@ -62,13 +65,13 @@
         return value
 
     def _pack_progress(self, value: dict[str, Any]) -> None:
-        if self.started:
-            value["started"] = self.started
-        if self.ended:
-            value["ended"] = self.ended
-        sealing_bit = self._sealing_bit if self.cancelled and self.key.startswith(JOB) else 0
+        if self.last_attempt:
+            value["started"] = self.last_attempt
+        if self.ended_count:
+            value["ended"] = self.ended_count
+        sealing_bit = self._sealing_bit if self.cancelled and self.key.startswith(JOB_PREFIX) else 0
         if self.done or sealing_bit:
-            value["done"] = to_text(self.done | sealing_bit)
+            value["done"] = format_ranges(self.done | sealing_bit)
         if self.allocations:
             value["claims"] = pack_allocations(self.allocations)
 
@@ -84,9 +87,9 @@
             spec=JobSpec.unpack(value["spec"]),
             submitted=value["at"],
             cancelled=bool(value.get("cancelled")),
-            started=value.get("started", 0),
-            ended=value.get("ended", 0),
-            done=from_text(value.get("done", "")),
+            last_attempt=value.get("started", 0),
+            ended_count=value.get("ended", 0),
+            done=parse_ranges(value.get("done", "")),
             allocations=unpack_allocations(value.get("claims", ())),
             dependencies=tuple(value.get("awaits", ())),
             dependencies_done_at=value.get("ready"),
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -20,7 +20,7 @@
 from tidebend.kvstore import Engine, InProcessClient, StateService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import Reply
 
 log = logging.getLogger("control")
@@ -65,14 +65,14 @@
         self.ring = Keyring(keys)
         self._tls = settings.tls.client() if settings.tls else None
         state = settings.state
-        limits = Limits(
+        limits = StoreLimits(
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
         )
         self.state = StateService(self.engine, limits)
         at = self._place()
         # the shares of threads follow from the settings alone, wherever we are going to listen
         shares = settings.controller(at[1], at[0])
-        threads = connection_limits.threads(shares) - SIDES * SIDE_THREADS
+        threads = connection_limits.connection_threads(shares) - SIDES * SIDE_THREADS
         _warn_of_few_files(settings.connections)
         self.gate = self._gate(at, lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}), threads)
         self.address = f"{self.gate.host}:{self.gate.port}"
@@ -179,7 +179,7 @@
 
     def start(self) -> None:
         """Begin to serve."""
-        self.controller.begin()
+        self.controller.start_threads()
         self.gate.route = self._route
         for gate in self.gates:
             threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 1.0}, name="door", daemon=True).start()
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -4,7 +4,7 @@
 
 import time
 
-from tidebend.autoscaling import Capacity, Offer, to_rent
+from tidebend.autoscaling import Capacity, Offer, plan_provisioning
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
@@ -76,11 +76,11 @@
         for capacity in capacities:
             per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + 1
         capacities.sort(key=lambda capacity: (capacity.ready_in, capacity.spot))
-        needed = to_rent(requests, capacities, offers, now=clock, rank=per_zone)
+        needed = plan_provisioning(requests, capacities, offers, now=clock, machines_by_zone=per_zone)
         # Few calls are available, and each of them that finds no capacity is one less: what failed least goes first,
         # so that offers without capacity don't delay those that have some.
         for rental in sorted(needed, key=lambda rental: self.provisioner.backoff.shortages(rental.offer)):
-            self.provisioner.provision(leadership.term, rental.offer, min(MAX_PER_REQUEST, rental.machines))
+            self.provisioner.provision(leadership.term, rental.offer, min(MAX_PER_REQUEST, rental.count))
 
     def _release_unusable(self, inventory: MachineInventory, view: FleetView, now: float) -> list[str]:
         """Release machines that failed to boot, or that should report by now; returns the latter."""
@@ -116,7 +116,7 @@
     ) -> Capacity:
         free: Amount = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         returns = []
-        for job, allocation in self._job_cache.on_machine(name):
+        for job, allocation in self._job_cache.allocations_on(name):
             amount = _times(need_of(job.spec), allocation.tasks.bit_count())
             free = _minus(free, amount)
             if job.spec.kind != "service":
@@ -135,7 +135,7 @@
         """The waiting work, and what will be ready by the time a machine could be up."""
         requests = [
             request
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             if (request := self._pending_jobs.request(job, now, clock)) is not None
         ]
         return requests + self._pending_jobs.requests_soon_ready(now, clock)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -10,9 +10,9 @@
 
 from tidebend import __version__, protocol
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.record_chunks import CHUNK
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX
 from tidebend.controller import connection_limits
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.api.router import Router
@@ -76,8 +76,8 @@
         settings = self.settings
         self.state = KeyValueClient(
             settings.state,
-            settings.state_limits,
-            settings.controllers,
+            settings.store_limits,
+            settings.controller_count,
             max(MIN_STATE_TIMEOUT_S, settings.controller_lease_s * STATE_TIMEOUT_SHARE),
             self._connect,
         )
@@ -88,7 +88,7 @@
             self._on_change,
             lock,
             watch_s=settings.controller_lease_s * WATCH_SHARE,
-            retry_s=WATCH_RETRY_SHARE * settings.lease_s,
+            retry_pause_s=WATCH_RETRY_SHARE * settings.lease_s,
         )
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
 
@@ -120,7 +120,7 @@
         self.quota_rebalancer = QuotaRebalancer(
             self.settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
         )
-        self.record_limits = RecordLimits(self.settings.state_limits, self.schema_version, self.state.writes_per_s)
+        self.record_limits = RecordLimits(self.settings.store_limits, self.schema_version, self.state.writes_per_s)
         self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
         self.cancellation_sealer = CancellationSealer(self.job_cache, self.job_writer)
         self.final_lookup = FinalRecordLookup(self.state, self.job_cache)
@@ -208,12 +208,12 @@
     def _on_change(self, key: str, value: Any, version: int) -> None:
         """Pass a changed record on to those who keep or watch it; called under the caches' lock."""
         self.job_cache.on_change(key, value, version)
-        if key == FORMAT and self.schema_version.pipelines:
+        if key == FORMAT and self.schema_version.supports_pipelines:
             # from now on the limits that are announced for the time after an upgrade may be in force
-            self.state.keep_within(self.settings.state_next)
-            self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
+            self.state.set_limits(self.settings.next_store_limits)
+            self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
-        if key.startswith((JOB, HEAD, CHUNK, FINAL)):
+        if key.startswith((JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX, FINAL)):
             self.scheduling_loop.wake()
         else:
             self.coordinator.wake.set()
@@ -228,7 +228,7 @@
         """Whether requests should be sent here."""
         return self.readiness.is_ready()
 
-    def begin(self) -> None:
+    def start_threads(self) -> None:
         """Start all threads; requests reach the controller by `route`, from whichever server."""
         self.cache.start()
         self.coordinator.start()
@@ -247,11 +247,11 @@
             self.route,
             idle_timeout_s=IDLE_LEASES * self.settings.lease_s,
             body_timeout_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
-            max_connections=connection_limits.incoming(self.settings),
-            backlog=connection_limits.backlog(self.settings),
-            max_threads=connection_limits.threads(self.settings),
+            max_connections=connection_limits.max_incoming_connections(self.settings),
+            backlog=connection_limits.listen_backlog(self.settings),
+            max_threads=connection_limits.connection_threads(self.settings),
         )
-        self.begin()
+        self.start_threads()
         return server
 
 
--- a/tidebend/controller/records/edit_batches.py
+++ b/tidebend/controller/records/edit_batches.py
@@ -13,7 +13,7 @@
 from tidebend.controller.records.record_limits import MAX_TRANSACTION_BYTES, RecordLimits
 from tidebend.controller.records.transaction_builder import TransactionBuilder
 from tidebend.protocol import Write
-from tidebend.quota import QUOTA, TEAM, QuotaAmountLike, TeamUsage
+from tidebend.quota import QUOTA_PREFIX, TEAM_PREFIX, QuotaAmountLike, TeamUsage
 
 log = logging.getLogger("records")
 
@@ -70,8 +70,8 @@
         self.writes.update((write[0], write) for write in prepared.writes)
         if prepared.changes_team_usage:
             # what ends in this transaction is available to the allocations that follow in it
-            ended = transaction.job.ended - before.ended
-            self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended)
+            ended_count = transaction.job.ended_count - before.ended_count
+            self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended_count)
         for zone, (cpus, gpus) in prepared.added.items():
             total = self.added.get((prepared.team, zone), (0.0, 0.0))
             self.added[prepared.team, zone] = (total[0] + cpus, total[1] + gpus)
@@ -155,25 +155,25 @@
             _added_by_zone(job, transaction.job),
             changes_team_usage=False,
         )
-        if usage.shares:
+        if usage.zone_quotas:
             return prepared if self._add_quota_change(prepared, usage, batch, held_zones) else None
         if transaction.usage.charged != usage.charged:
             prepared.changes_team_usage = True
-            prepared.conditions[TEAM + team] = usage.version
-            prepared.writes.append(put(TEAM + team, transaction.usage.pack()))
+            prepared.conditions[TEAM_PREFIX + team] = usage.version
+            prepared.writes.append(put(TEAM_PREFIX + team, transaction.usage.pack()))
         return prepared
 
     def _add_quota_change(
         self, prepared: PreparedEdit, usage: TeamUsage, batch: EditBatch, held_zones: HeldZones
     ) -> bool:
         """Add what keeps the team's zone quotas; False if they have no room for the edit's allocations."""
-        assert usage.shares is not None
+        assert usage.zone_quotas is not None
         prepared.changes_team_usage = True
         quota_change = self._quota_rebalancer.change_for_allocation(
             prepared.team,
-            usage.shares,
+            usage.zone_quotas,
             already_added=batch.added,
-            already_written=batch.writes.get(QUOTA + prepared.team),
+            already_written=batch.writes.get(QUOTA_PREFIX + prepared.team),
             added=prepared.added,
             held_zones=held_zones,
         )
@@ -188,6 +188,6 @@
     """Return what a change allocates less what it ends, in the zones in which that differs."""
     tasks: dict[str, int] = {}
     for job, sign in ((before, -1), (after, 1)):
-        for zone, count in job.per_zone().items():
+        for zone, count in job.allocated_by_zone().items():
             tasks[zone] = tasks.get(zone, 0) + sign * count
     return {zone: (count * after.spec.cpus, count * after.spec.gpus) for zone, count in tasks.items() if count}
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, Job
 from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, chunk_size
 from tidebend.controller.records.job_transaction import chunk_key, delete, put
 from tidebend.controller.records.record_limits import ALLOCATIONS_SHARE, RecordLimits, packed_bytes
@@ -66,7 +66,7 @@
             self._write_chunks(job, split_job, source_versions, patience)
             self._write_head(job, head, patience)
         except ConflictError:
-            self._cache.barrier(self._cache.state.timeout, "claim")
+            self._cache.barrier(self._cache.client.timeout, "claim")
             return False
         chunks = len(split_job.open_chunks) + split_job.finished_chunks.bit_count()
         log.info("job %s is kept in %d chunks from now on", job_id, chunks)
@@ -85,12 +85,12 @@
     @staticmethod
     def _split_into(job: Job, size: int) -> _SplitJob:
         """Split a job into chunks of `size` tasks."""
-        index = ChunkIndex(size, ended=job.ended, started=job.started)
+        index = ChunkIndex(size, ended_count=job.ended_count, last_attempt=job.last_attempt)
         whole = replace(job, chunks=index)
         open_chunks: dict[int, Chunk] = {}
         finished = 0
         for number in index.numbers(whole.done | whole.allocated):
-            chunk = replace(whole.chunk_of(number, job), source=job.version, started=job.started)
+            chunk = replace(whole.chunk_of(number, job), source=job.version, last_attempt=job.last_attempt)
             if whole.chunk_is_finished(number, chunk):
                 finished |= 1 << number
             else:
@@ -108,7 +108,7 @@
         ]
         max_writes = self._record_limits.max_writes
         while writes:
-            self._cache.write({job.key: job.version}, writes[:max_writes], patience=patience)
+            self._cache.write({job.key: job.version}, writes[:max_writes], retry_for_s=patience)
             writes = writes[max_writes:]
 
     def _write_head(self, job: Job, head: Job, patience: float) -> None:
@@ -118,5 +118,5 @@
         if job.key != head.key:
             conditions[head.key] = 0
             writes.append(delete(job.key))
-        writes.append(put(HEAD + job.id, head.pack()))
-        self._cache.write(conditions, writes, patience=patience)
+        writes.append(put(HEAD_PREFIX + job.id, head.pack()))
+        self._cache.write(conditions, writes, retry_for_s=patience)
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -13,7 +13,7 @@
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.staggered_claims import ClaimStagger, shard_order
 from tidebend.coordination import Coordinator, shard_of
@@ -99,40 +99,40 @@
         self, requests: list[TaskRequest], machines: dict[str, ScheduledMachine], now: float, clock: float
     ) -> None:
         """Stop what loses least, for waiting services of a higher priority that find no room now."""
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         ours = {shard_of(scheduled.candidate.zone) for scheduled in machines.values()}
         with_victims: list[MachineWithVictims] | None = None
         for request in requests:
             rank = PRIORITIES.index(request.spec.priority)
-            if rank == 0 or request.gang or not request.service or request.headroom < 1:
+            if rank == 0 or request.is_gang or not request.is_service or request.headroom < 1:
                 continue
             if not self._is_due(request, shards, ours, now) or request.not_before > clock:
                 continue
             if with_victims is None:
                 with_victims = self._machines_with_victims(machines.values(), now)
-            self.make_room_for(request, rank, with_victims, now)
+            self.preempt_for(request, rank, with_victims, now)
 
-    def make_room_for(self, request: TaskRequest, rank: int, machines: list[MachineWithVictims], now: float) -> None:
+    def preempt_for(self, request: TaskRequest, rank: int, machines: list[MachineWithVictims], now: float) -> None:
         """Stop tasks for as many replicas as wait: one after the other they would be missed for long.
 
         `rank` is the request's priority as an index of `PRIORITIES`. Machines on which room is made are taken out of
         the list.
         """
         plans = self._stop_plans(request, rank, machines)
-        zone_room = {row.candidate.zone: request.zone_room(row.candidate.zone) for row in machines}
+        zone_headroom = {row.candidate.zone: request.zone_headroom(row.candidate.zone) for row in machines}
         used: set[int] = set()
         for plan in sorted(plans):
             candidate, machine, *_ = machines[plan.machine_index]
             if len(used) >= min(request.waiting, request.headroom):
                 break
-            if zone_room[candidate.zone] < 1:
+            if zone_headroom[candidate.zone] < 1:
                 continue
-            zone_room[candidate.zone] -= 1
+            zone_headroom[candidate.zone] -= 1
             used.add(plan.machine_index)
             self._stop(machine, plan, request)
         if used:
             self.send({machines[index].machine.name for index in used})
-            self._until[request.job] = now + REPORTS_TO_STOP * self.settings.report_s
+            self._until[request.job_id] = now + REPORTS_TO_STOP * self.settings.report_s
             machines[:] = [row for index, row in enumerate(machines) if index not in used]
 
     def _is_due(self, request: TaskRequest, shards: list[str], ours: set[str], now: float) -> bool:
@@ -141,12 +141,12 @@
         Every shard has had time to place it without stopping anything; after that they wait for different times before
         they stop tasks, too.
         """
-        if now < self._until.get(request.job, 0.0):
+        if now < self._until.get(request.job_id, 0.0):
             return False
-        pending_since = self.claim_stagger.pending_since(request.job)
+        pending_since = self.claim_stagger.pending_since(request.job_id)
         if pending_since is None:
             return False
-        order = shard_order(request.job, shards)
+        order = shard_order(request.job_id, shards)
         position = min((order.index(shard) for shard in ours), default=0)
         wait_s = (2 * len(shards) + 1) * self.claim_stagger.interval_s + position * self.settings.report_s
         return now - pending_since >= wait_s
@@ -165,9 +165,9 @@
         """What a machine has free, and its tasks that may be stopped, those that lose least first."""
         free = (kind.cpus, kind.gpus, kind.memory_gb)
         victims = []
-        for job, allocation in self.job_cache.on_machine(machine.name):
+        for job, allocation in self.job_cache.allocations_on(machine.name):
             need = need_of(job.spec)
-            for index in members(allocation.tasks):
+            for index in set_bits(allocation.tasks):
                 free = subtract(free, need)
                 if _may_be_stopped(job.spec):
                     victims.append(_victim(machine, job, allocation, index, now))
@@ -185,7 +185,7 @@
             kind = (candidate.type.name, candidate.zone, candidate.spot)
             if kind not in allowed:
                 allowed[kind] = allowed_on(request, candidate)
-            if not allowed[kind] or request.zone_room(candidate.zone) < 1:
+            if not allowed[kind] or request.zone_headroom(candidate.zone) < 1:
                 continue
             chosen = _cheapest(free, victims, need, rank)
             if chosen:
@@ -201,7 +201,7 @@
             "machine %s: %s make room for %s, %.0f s of work lost",
             machine.name,
             [key[:2] for key, _ in plan.stops],
-            request.job,
+            request.job_id,
             plan.loss,
         )
 
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -134,7 +134,7 @@
             self.cancellation_sealer.seal_all()
 
     def _resolve_final_records(self) -> None:
-        unresolved = self.job_cache.unresolved()
+        unresolved = self.job_cache.missing_final_states()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
                 self._look_up_finals(unresolved, "claim")
@@ -148,7 +148,7 @@
         now, clock = time.monotonic(), time.time()
         if not self.coordinator.lease_valid:
             return
-        jobs = {job.id: job for job in self.job_cache.live() if job.pending}
+        jobs = {job.id: job for job in self.job_cache.live_jobs() if job.pending}
         self._forget_all_but(jobs)
         # also while none of our machines can be used: quota of a zone that is cut off lies with whoever took its shard
         self.quota_releaser.release_for(jobs.values(), now)
@@ -182,7 +182,7 @@
     ) -> list[TaskRequest]:
         """Requests of pending jobs, none of which starts before it is our time to claim it."""
         candidates_by_image = _candidates_by_image(machines)
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         ours = {shard_of(scheduled.candidate.zone) for scheduled in machines}
         held = self.coordinator.held_zones()
         requests = []
@@ -229,17 +229,17 @@
         ready.
         """
         lost = self.coordinator.unreachable_zones()
-        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost)
+        shards = sorted(shard for shard in self.coordinator.holders() if zone_of(shard) not in lost)
         if not lost or not shards:
             return []
         ours = {grant.shard for grant in self.coordinator.grants()}
         requests = []
-        for job in self.job_cache.live():
+        for job in self.job_cache.live_jobs():
             if job.spec.kind != "service":
                 continue
             order = shard_order(job.id, shards)
             numbers = [order.index(shard) for shard in shards if shard in ours]
-            our_share = partial(share_of_tasks, numbers=numbers, of=len(shards))
+            our_share = partial(share_of_tasks, shard_positions=numbers, shard_count=len(shards))
             request = self.pending_jobs.relocation_request(job, lost, our_share, now, clock)
             if request is not None:
                 requests.append(request)
@@ -265,5 +265,5 @@
     starts: dict[str, list[Placement]] = {}
     for placement in placements:
         if placement.starts_now:
-            starts.setdefault(placement.job, []).append(placement)
+            starts.setdefault(placement.job_id, []).append(placement)
     return starts
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -114,7 +114,7 @@
         holder = self._coordinator.holder(shard)
         if holder is None or holder == self._settings.name:
             return unavailable_reply("no holder")
-        return Reply(421, protocol.report_elsewhere(holder))
+        return Reply(421, protocol.redirect_answer(holder))
 
     def _accept(self, report: Report, grant: ShardGrant) -> Reply:
         """Take in a report of a shard that we hold, and answer it.
@@ -142,7 +142,7 @@
 
     def _commands(self, machine: Machine, token: int) -> list[Command]:
         """The commands for a machine; called under the machine registry's lock."""
-        allocations = self._job_cache.on_machine(machine.name)
+        allocations = self._job_cache.allocations_on(machine.name)
         if self._coordinator.lease_valid:
             commands = commands_for(machine, allocations, token, direct=False)
         else:
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -17,7 +17,7 @@
 )
 from tidebend.kvstore.records import Change, Item, Write
 from tidebend.protocol import store as wire
-from tidebend.settings import Limits
+from tidebend.settings import StoreLimits
 from tidebend.transport import TokenBucket
 
 MOST_ITEMS = 1000  # a page: `more` says that it goes on
@@ -39,7 +39,7 @@
 class StateService:
     """Answers the protocol's requests from an engine, within the limits of the settings."""
 
-    def __init__(self, engine: Engine, limits: Limits) -> None:
+    def __init__(self, engine: Engine, limits: StoreLimits) -> None:
         """The engine stays the caller's to close."""
         self.engine = engine
         self.limits = limits
@@ -94,7 +94,7 @@
             return 409, wire.conflict(failed.revision, failed.keys)
         except LeaseEndedError:
             return 400, wire.error(NO_SUCH_LEASE)
-        return 200, wire.revision_of(revision)
+        return 200, wire.revision_answer(revision)
 
     def _check_counts(self, request: wire.Transaction) -> None:
         most_writes = self.limits.txn_ops
@@ -119,7 +119,7 @@
         _check_key(key)
         item, revision = self.engine.get(key)
         if item is None:
-            return 404, wire.revision_of(revision)
+            return 404, wire.revision_answer(revision)
         return 200, _item_row(item)
 
     def _items(self, query: wire.ItemsQuery) -> Answer:
