--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A settings file that can't be used is refused with a line that names the field."""
+"""Tests of the settings: an invalid file is rejected with a message that names the field."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 
 def test_a_mistyped_field_is_named():
-    with pytest.raises(SettingsError, match="member must be a text"):
+    with pytest.raises(SettingsError, match="member must be a string"):
         read_settings({"outside": {}, "deployment": {"workers": {}, "state": {}, "cloud": {}}, "member": 3}, Knobs())
 
 
@@ -57,7 +57,7 @@
 
 
 def test_a_controller_on_the_platform_imports_nothing_of_the_product():
-    """Guards the small memory of `run`."""
+    """The controller process has little memory on the platform, so it must not import the product's dependencies."""
     import subprocess
     import sys
 
--- a/tidebend/settings/__init__.py
+++ b/tidebend/settings/__init__.py
@@ -1,6 +1,6 @@
-"""The checked settings: the platform's TOML file and the operators' optional HCL file.
+"""Validated settings, read from the platform's TOML file and the operators' optional HCL file.
 
-`model` has the typed settings, `platform_file` and `knobs_file` read the two files.
+`model` defines the typed settings; `platform_file` and `knobs_file` read the two files.
 """
 
 from tidebend.settings.knobs_file import load_knobs
