--- a/tests/test_scheduling.py
+++ b/tests/test_scheduling.py
@@ -56,7 +56,7 @@
 def make_machine(name="m0", zone="north", spot=False, busy=()):
     timeline = Timeline(0.0, (8.0, 0.0, 32.0))
     for start, end, cpus in busy:
-        timeline.take(start, end, (cpus, 0.0, 0.0))
+        timeline.reserve(start, end, (cpus, 0.0, 0.0))
     return CandidateMachine(name, KIND, zone, spot, timeline)
 
 
@@ -167,8 +167,8 @@
             return placements
         slot, i, j = slots[0]
         w, p = wants[i], places[j]
-        tasks = min(w.waiting, p.timeline.room(slot.start, slot.finish, need_of(w.spec)))
-        p.timeline.take(slot.start, slot.finish, tuple(part * tasks for part in need_of(w.spec)))
+        tasks = min(w.waiting, p.timeline.count_fitting(slot.start, slot.finish, need_of(w.spec)))
+        p.timeline.reserve(slot.start, slot.finish, tuple(part * tasks for part in need_of(w.spec)))
         w.waiting -= tasks
         placements.append((w.job_id, p.name, tasks, slot.start <= now))
 
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -138,7 +138,7 @@
         """What is free from now on, in steady time."""
         timeline = Timeline(self._now, (self._kind.cpus, self._kind.gpus, self._kind.memory_gb))
         for remaining, amount in self._taken.items():
-            timeline.take(self._now, self._now + remaining, amount)
+            timeline.reserve(self._now, self._now + remaining, amount)
         return timeline
 
     def _take(self, need: Amount, remaining: float) -> None:
--- a/tidebend/scheduling/__init__.py
+++ b/tidebend/scheduling/__init__.py
@@ -1,4 +1,7 @@
-"""Maximum value per resource with place-holders (Khemka et al.): pure functions of a snapshot and a clock."""
+"""The scheduling heuristic: maximum value per resource with place-holders (Khemka et al.).
+
+Everything here is a pure function of a snapshot of the cluster and a time.
+"""
 
 from tidebend.scheduling.event_state import EventState
 from tidebend.scheduling.mapping_event import MappingEvent, map_tasks
--- a/tidebend/scheduling/event_state.py
+++ b/tidebend/scheduling/event_state.py
@@ -1,4 +1,4 @@
-"""The state of one mapping event: what is waiting, on which machines, and what has been placed so far."""
+"""The state of one mapping event: waiting requests, candidate machines, and the placements made so far."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EventState:
-    """What the passes of a mapping event share and change."""
+    """State that the passes of a mapping event share and modify."""
 
     def __init__(
         self,
@@ -17,33 +17,35 @@
         horizon: float,
         unmet_guarantees: dict[str, GuaranteeBalance] | None = None,
     ) -> None:
-        """See `map_tasks`. Requests of teams that are at their limit are skipped."""
+        """For the arguments see `map_tasks`. Requests of teams that have reached their limit are skipped."""
         self.requests = [request for request in requests if request.waiting > 0 and request.headroom > 0]
         self.machines = machines
         self.now = now
         self.latest_start = now + horizon
         self.unmet_guarantees = unmet_guarantees or {}
         self.placements: list[Placement] = []
-        # once nothing can start anywhere the event is over: what it would still hold lapses with it
+        # The event ends once nothing can start on any machine: further place-holders would only lapse with the event.
         self.startable = StartableMachines(self.requests, machines, now)
-        self.open_machines = {index for index, machine in enumerate(machines) if machine.name in self.startable.names}
+        self.startable_indexes = {
+            index for index, machine in enumerate(machines) if machine.name in self.startable.names
+        }
 
     def placeable_tasks(self, request: TaskRequest, within_guarantee: bool) -> int:
-        """How many tasks of a request may be placed now, all of them or those within its team's guarantee."""
-        most = min(request.waiting, request.headroom)
+        """Return how many tasks of a request may be placed now, in total or only within its team's guarantee."""
+        max_tasks = min(request.waiting, request.headroom)
         if within_guarantee:
-            most = min(most, self.unmet_guarantees[request.spec.team].tasks(request.spec))
-        return most
+            max_tasks = min(max_tasks, self.unmet_guarantees[request.spec.team].count_within(request.spec))
+        return max_tasks
 
     def count_toward_guarantee(self, request: TaskRequest, tasks: int) -> None:
-        """Deduct placed tasks from what their team has still to get of its guarantee, if it has one."""
+        """Deduct placed tasks from the unmet guarantee of their team, if it has one."""
         balance = self.unmet_guarantees.get(request.spec.team)
         if balance is not None:
-            balance.take(request.spec, tasks)
+            balance.deduct(request.spec, tasks)
 
     def is_within_guarantee(self, request: TaskRequest) -> bool:
-        """Whether some of its tasks, or all of a gang's, are within what its team has still to get."""
+        """Return whether one task of a request, or a whole gang, fits within its team's unmet guarantee."""
         if request.spec.team not in self.unmet_guarantees:
             return False
-        least = request.waiting if request.is_gang else 1
-        return self.placeable_tasks(request, within_guarantee=True) >= least
+        min_tasks = request.waiting if request.is_gang else 1
+        return self.placeable_tasks(request, within_guarantee=True) >= min_tasks
--- a/tidebend/scheduling/resources.py
+++ b/tidebend/scheduling/resources.py
@@ -1,40 +1,40 @@
-"""CPUs, GPUs and memory: what tasks need, and how many of them fit."""
+"""Resource amounts (CPUs, GPUs, memory): arithmetic, and how many tasks fit."""
 
 from __future__ import annotations
 
 from tidebend.protocol import JobSpec, MachineType
 
-# amounts are sums of floating-point numbers: differences below this are taken for rounding errors
+# amounts are sums of floating-point numbers: smaller differences are treated as rounding errors
 EPSILON = 1e-6
-# "no limit" where a number of tasks is counted: more than any machine can hold
+# stands for "no limit" in a number of tasks; more than any machine can run
 UNLIMITED_TASKS = 1_000_000
-# An amount of resources: CPUs, GPUs, gigabytes of memory. A bare tuple, since a mapping event builds and reads
+# An amount of resources: CPUs, GPUs, gigabytes of memory. A plain tuple for speed: a mapping event creates and reads
 # thousands of them.
 Amount = tuple[float, float, float]
 
 
 def need_of(spec: JobSpec) -> Amount:
-    """What one task of the job needs."""
+    """Return the resources that one task of the job needs."""
     return (spec.cpus, spec.gpus, spec.memory_gb)
 
 
 def add(amount: Amount, other: Amount) -> Amount:
-    """The sum of two amounts."""
+    """Return the sum of two amounts."""
     return (amount[0] + other[0], amount[1] + other[1], amount[2] + other[2])
 
 
 def subtract(amount: Amount, other: Amount) -> Amount:
-    """What is left of an amount; parts may become negative."""
+    """Return the difference of two amounts; its components may be negative."""
     return (amount[0] - other[0], amount[1] - other[1], amount[2] - other[2])
 
 
 def multiply(amount: Amount, tasks: int) -> Amount:
-    """What so many tasks need that need this amount each."""
+    """Return the amount that this many tasks need if each needs `amount`."""
     return (amount[0] * tasks, amount[1] * tasks, amount[2] * tasks)
 
 
 def fits(free: Amount, need: Amount) -> bool:
-    """Whether a task of that size fits. (Written out: a mapping event spends most of its time here.)"""
+    """Return whether a task with this need fits. Unrolled for speed: a mapping event spends most of its time here."""
     return (
         (need[0] <= EPSILON or free[0] + EPSILON >= need[0])
         and (need[1] <= EPSILON or free[1] + EPSILON >= need[1])
@@ -43,25 +43,29 @@
 
 
 def count_fitting_tasks(free: Amount, need: Amount) -> int:
-    """How many tasks of that size fit; `UNLIMITED_TASKS` if they need nothing."""
-    most = float(UNLIMITED_TASKS)
+    """Return how many tasks with this need fit; `UNLIMITED_TASKS` if the need is zero."""
+    count = float(UNLIMITED_TASKS)
     amount = need[0]
     if amount > EPSILON:
-        most = (free[0] + EPSILON) // amount
+        count = (free[0] + EPSILON) // amount
     amount = need[1]
     if amount > EPSILON:
-        most = min(most, (free[1] + EPSILON) // amount)
+        count = min(count, (free[1] + EPSILON) // amount)
     amount = need[2]
     if amount > EPSILON:
-        most = min(most, (free[2] + EPSILON) // amount)
-    return int(most) if most > 0 else 0
+        count = min(count, (free[2] + EPSILON) // amount)
+    return int(count) if count > 0 else 0
 
 
-def largest_share(spec: JobSpec, types: list[MachineType]) -> float:
-    """A task's largest share of the most CPUs, GPUs or memory that any machine type has; at least `EPSILON`.
+def largest_share(spec: JobSpec, machine_types: list[MachineType]) -> float:
+    """Return the largest of a task's shares of CPUs, GPUs and memory; at least `EPSILON`.
 
-    The paper counts cores, which are alike in all its clusters. A share of the very machine that a task is placed on
-    would make large machines look cheap, and tasks would wait for room there while others idle.
+    Each share is relative to the machine type that has the most of that resource. The paper counts cores, which are
+    identical in all its clusters. With shares of the machine that a task is placed on, large machines would look cheap,
+    and tasks would wait for capacity there while other machines are idle.
     """
-    largest = [max((getattr(kind, part) for kind in types), default=0.0) for part in ("cpus", "gpus", "memory_gb")]
+    largest = [
+        max((getattr(machine_type, component) for machine_type in machine_types), default=0.0)
+        for component in ("cpus", "gpus", "memory_gb")
+    ]
     return max([EPSILON] + [need / have for need, have in zip(need_of(spec), largest, strict=True) if have > 0])
--- a/tidebend/scheduling/startable_machines.py
+++ b/tidebend/scheduling/startable_machines.py
@@ -1,4 +1,4 @@
-"""The machines on which some waiting task could start now."""
+"""The machines on which a waiting task could start now."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class StartableMachines:
-    """The names of machines on which some waiting task could start now; they only grow fewer within an event."""
+    """The names of machines on which a waiting task could start now; within an event names are only removed."""
 
     def __init__(self, requests: list[TaskRequest], machines: list[CandidateMachine], now: float) -> None:
-        """Check all machines; requests that may not start yet don't count, unless room is held for them."""
+        """Check all machines. Requests that may not start yet are ignored, except relocations."""
         self._requests = [
             (request, need_of(request.spec)) for request in requests if request.not_before <= now or request.relocating
         ]
-        # most machines are full, and recognized as full by the fewest CPUs that any task needs
+        # the smallest CPU need of all requests: a cheap check that rules out most machines, which are full
         self._fewest_cpus = min((need[0] for _, need in self._requests), default=math.inf)
         self.names = {machine.name for machine in machines if self._can_start_any(machine)}
 
     def recheck(self, machine: CandidateMachine) -> None:
-        """Remove a machine on which nothing can start any more, after a placement on it."""
+        """Remove a machine after a placement on it if nothing else can start there now."""
         if machine.name in self.names and not self._can_start_any(machine):
             self.names.discard(machine.name)
 
--- a/tidebend/scheduling/value_functions.py
+++ b/tidebend/scheduling/value_functions.py
@@ -1,7 +1,7 @@
-"""What a job is worth and until when: the paper's value functions, and demands along pipelines.
+"""The paper's value functions of jobs, and the propagation of priorities and deadlines along pipelines.
 
-Section 2 of Khemka et al., "Resource Management in Heterogeneous Parallel Computing Environments with Soft and Hard
-Deadlines". Times are times of day in seconds.
+See section 2 of Khemka et al., "Resource Management in Heterogeneous Parallel Computing Environments with Soft and Hard
+Deadlines". Times are wall-clock times in seconds.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from tidebend.protocol import PRIORITIES, JobSpec
 from tidebend.scheduling.resources import EPSILON
 
-# value left at the hard deadline, as a share of the starting value: the middle of the paper's U(0.01, 0.8)
-FINAL_SHARE = 0.4
-# what lies within its team's guarantee is worth this many times what is borrowed
-GUARANTEE_WORTH = 2.0
-# each priority is worth this many times the one below it
-WORTH_PER_PRIORITY = 10.0
+# value at the hard deadline, as a share of the starting value: the mean of the paper's distribution U(0.01, 0.8)
+FINAL_VALUE_SHARE = 0.4
+# factor between the values of a task within its team's guarantee and of a borrowed one
+GUARANTEE_VALUE_FACTOR = 2.0
+# factor between the values of one priority and the next lower one
+PRIORITY_VALUE_FACTOR = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """The paper's value function: constant to the soft deadline, linear to the hard one, then nothing."""
+    """The paper's value function: constant until the soft deadline, linear until the hard one, then zero."""
 
     starting_value: float
-    final_value: float  # at the hard deadline
+    final_value: float  # value at the hard deadline
     soft_deadline: float
     hard_deadline: float
 
     def at(self, finish: float) -> float:
-        """The value of a task that ends then."""
+        """Return the value of a task that ends at `finish`."""
         if finish <= self.soft_deadline:
             return self.starting_value
         if finish > self.hard_deadline:
@@ -43,76 +43,80 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What a job, and all jobs that need it, ask of it: a priority, and by when it must end for their deadlines."""
+    """A job's effective priority and deadlines, given its own and those of the jobs that depend on it."""
 
-    rank: int  # the greatest priority, as an index of `PRIORITIES`
+    priority: int  # the highest priority among them, as an index of `PRIORITIES`
     soft_deadline: float = math.inf
     hard_deadline: float = math.inf
 
-    def joined_with(self, dependent: Demand, length: float) -> Demand:
-        """With the demand of a job that needs this one and takes so many seconds after it."""
+    def combined_with(self, dependent: Demand, duration: float) -> Demand:
+        """Return the demand combined with that of a dependent job, which takes `duration` seconds after this one."""
         return Demand(
-            max(self.rank, dependent.rank),
-            min(self.soft_deadline, dependent.soft_deadline - length),
-            min(self.hard_deadline, dependent.hard_deadline - length),
+            max(self.priority, dependent.priority),
+            min(self.soft_deadline, dependent.soft_deadline - duration),
+            min(self.hard_deadline, dependent.hard_deadline - duration),
         )
 
 
 def propagate_demands(
-    own: dict[str, Demand], length: dict[str, float], after: dict[str, list[str]]
+    own: dict[str, Demand], durations: dict[str, float], dependents: dict[str, list[str]]
 ) -> dict[str, Demand]:
-    """Demands along the graph of jobs that need one another: the remaining critical path goes off each deadline.
+    """Return the demands of jobs after propagation through their dependency graph.
 
-    `own`: what jobs ask for by themselves; `length`: seconds that a job takes once it is ready; `after`: for each job
-    those that need it, of which any that `own` doesn't have are ignored. Neither order nor depth of the graph is
-    bounded, so there is no recursion. The graph must have no cycle.
+    The duration of the remaining critical path is subtracted from each deadline.
+
+    `own` has the demands of the jobs themselves, `durations` the seconds that each job takes once it is ready, and
+    `dependents` the jobs that depend on each job; dependents that are missing in `own` are ignored. The traversal isn't
+    recursive since the depth of the graph is unbounded. The graph must not have cycles.
     """
-    joined: dict[str, Demand] = {}
-    stack = list(after)
+    combined: dict[str, Demand] = {}
+    stack = list(dependents)
     while stack:
         name = stack[-1]
-        if name in joined or name not in own:
+        if name in combined or name not in own:
             stack.pop()
             continue
-        missing = [other for other in after.get(name, ()) if other in own and other not in joined]
+        missing = [
+            dependent for dependent in dependents.get(name, ()) if dependent in own and dependent not in combined
+        ]
         if missing:
             stack += missing
             continue
         stack.pop()
         demand = own[name]
-        for other in after.get(name, ()):
-            if other in joined:
-                demand = demand.joined_with(joined[other], length[other])
-        joined[name] = demand
-    return joined
+        for dependent in dependents.get(name, ()):
+            if dependent in combined:
+                demand = demand.combined_with(combined[dependent], durations[dependent])
+        combined[name] = demand
+    return combined
 
 
-def own_demand(spec: JobSpec, submitted: float, estimate: float, late: float = 1.0) -> Demand:
-    """What a job asks for by itself, `estimate` being its run time in seconds.
+def own_demand(spec: JobSpec, submitted: float, estimate: float, deadline_factor: float = 1.0) -> Demand:
+    """Return the demand of a job without its dependents; `estimate` is its run time in seconds.
 
-    Its hard deadline comes one estimate after its own deadline, or `late` times its own deadline after it was
-    submitted, if its class has an objective for those that are late as well; whichever is later.
+    The hard deadline is one estimate after the job's deadline, or `deadline_factor` times its deadline after its
+    submission (the objective of its class for late jobs), whichever is later.
     """
-    rank = PRIORITIES.index(spec.priority)
+    priority = PRIORITIES.index(spec.priority)
     if spec.deadline_s is None:
-        return Demand(rank)
+        return Demand(priority)
     soft = submitted + spec.deadline_s
-    return Demand(rank, soft, max(soft + estimate, submitted + late * spec.deadline_s))
+    return Demand(priority, soft, max(soft + estimate, submitted + deadline_factor * spec.deadline_s))
 
 
-def value_of(demand: Demand, since: float, estimate: float, within_guarantee: bool = False) -> Value:
-    """The value function of a job that could first start at `since` and runs for `estimate` seconds.
+def value_of(demand: Demand, startable_since: float, estimate: float, within_guarantee: bool = False) -> Value:
+    """Return the value function of a job that could first start at `startable_since` and runs for `estimate` seconds.
 
-    Soft deadline: as demanded, else one estimate after the job could first start. Hard deadline: as demanded, else
-    another estimate later.
+    A job without deadlines gets a soft deadline one estimate after `startable_since`, and a hard deadline another
+    estimate later.
     """
-    start = WORTH_PER_PRIORITY**demand.rank * (GUARANTEE_WORTH if within_guarantee else 1.0)
-    final = start * FINAL_SHARE
+    start = PRIORITY_VALUE_FACTOR**demand.priority * (GUARANTEE_VALUE_FACTOR if within_guarantee else 1.0)
+    final = start * FINAL_VALUE_SHARE
     if demand.soft_deadline == math.inf:
-        return Value(start, final, since + estimate, since + estimate + max(estimate, EPSILON))
+        return Value(start, final, startable_since + estimate, startable_since + estimate + max(estimate, EPSILON))
     return Value(start, final, demand.soft_deadline, max(demand.hard_deadline, demand.soft_deadline + EPSILON))
 
 
 def is_reserved(value: Value, now: float) -> bool:
-    """Past the soft deadline a task keeps a standing reservation, as long as it is worth anything."""
+    """Return whether a task has a standing reservation: from its soft deadline until its hard deadline."""
     return value.soft_deadline < now <= value.hard_deadline
