--- a/tidebend/controller/scheduler/__init__.py
+++ b/tidebend/controller/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduling loop: pending jobs, free capacity, and the claims made on it."""
+"""The scheduling loop: pending jobs, free capacity, claims and preemption."""
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -1,4 +1,4 @@
-"""Claims: placements of a mapping event are recorded as allocations, before any start goes out."""
+"""Claims: recording the placements of a mapping event as allocations before any start command is sent."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Allocator:
-    """Writes claims, each on condition that its shards are still held and that what it was made from is unchanged."""
+    """Writes claims, each conditional on its shards still being held and the records that it is based on unchanged."""
 
     def __init__(
         self,
@@ -35,61 +35,74 @@
         pending_jobs: PendingJobs,
         send: Callable[[set[str]], None],
     ) -> None:
-        """`send` sends machines, by name, the commands that follow from the records."""
+        """`send` sends the machines with these names the commands that follow from the records."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_writer = job_writer
         self.completions = completions
         self.pending_jobs = pending_jobs
         self.send = send
-        self.last_allocation: dict[str, float] = {}  # job -> steady time of our last claim for it
+        self.last_allocation: dict[str, float] = {}  # job id -> monotonic time of this controller's last claim for it
 
     def allocate(self, placements: dict[str, list[Placement]], machines: dict[str, ScheduledMachine]) -> None:
-        """Record claims for jobs' placements on these machines, and send the starts of those that were recorded.
+        """Record claims for jobs' placements on these machines, and send start commands for those that were recorded.
 
-        A claim that conflicts with another controller's change is left out. Raises `NotExecutedError` or
-        `OutcomeUnknownError` if the state service can't be reached.
+        A claim that conflicts with another controller's write is skipped. Raises `NotExecutedError` or
+        `OutcomeUnknownError` if the key-value store can't be reached.
         """
-        at = time.time()
-        claims = [self._claim_edit(name, group, machines, at) for name, group in placements.items()]
-        edits = self._completions_before(placements) + claims
+        allocated_at = time.time()
+        claims = [
+            self._claim_edit(job_id, job_placements, machines, allocated_at)
+            for job_id, job_placements in placements.items()
+        ]
+        edits = self._completions_freeing_quota(placements) + claims
         changed = self.job_writer.change_all(edits) if edits else {}
         now = time.monotonic()
-        for name, job in changed.items():
-            self.completions.recorded_with_allocation(name)
-            if name in placements:
-                self._note_claim(job, placements[name], now)
-        self.send({placement.machine for name in changed for placement in placements.get(name, ())})
+        for job_id, job in changed.items():
+            self.completions.recorded_with_allocation(job_id)
+            if job_id in placements:
+                self._note_claim(job, placements[job_id], now)
+        self.send({placement.machine for job_id in changed for placement in placements.get(job_id, ())})
 
     def _claim_edit(
-        self, name: str, group: list[Placement], machines: dict[str, ScheduledMachine], at: float
+        self, job_id: str, job_placements: list[Placement], machines: dict[str, ScheduledMachine], allocated_at: float
     ) -> JobEdit:
-        """The claim for one job; completions of its tasks that aren't recorded yet go with it."""
-        end = self.completions.unrecorded.get(name)
-        conditions = dict(self.coordinator.condition(machines[placement.machine].grant) for placement in group)
-        if end is not None:
-            conditions.update(self.completions.conditions(end))
-        make = partial(self._with_claims, group=group, machines=machines, at=at, end=end)
-        return JobEdit(name, make, conditions)
-
-    def _note_claim(self, job: Job, group: list[Placement], now: float) -> None:
-        if job.allocated_count >= sum(placement.tasks for placement in group):
-            self.last_allocation[job.id] = now  # else more of its parts follow at once
-        log.debug("allocated for %s: %s", job.id, [(placement.machine, placement.tasks) for placement in group])
-
-    def _completions_before(self, placements: dict[str, list[Placement]]) -> list[JobEdit]:
-        """Completions of other jobs of teams whose limit has no room for their claims until these are recorded.
-
-        Usage is deducted before it is added: completions come ahead of the claims, in their transaction or in one
-        before it.
+        """Return the claim for one job, which also records completions of its tasks not recorded yet."""
+        unrecorded = self.completions.unrecorded.get(job_id)
+        conditions = dict(self.coordinator.condition(machines[placement.machine].grant) for placement in job_placements)
+        if unrecorded is not None:
+            conditions.update(self.completions.conditions(unrecorded))
+        make = partial(
+            self._with_claims,
+            job_placements=job_placements,
+            machines=machines,
+            allocated_at=allocated_at,
+            unrecorded=unrecorded,
+        )
+        return JobEdit(job_id, make, conditions)
+
+    def _note_claim(self, job: Job, job_placements: list[Placement], now: float) -> None:
+        if job.allocated_count >= sum(placement.tasks for placement in job_placements):
+            self.last_allocation[job.id] = now  # otherwise the remaining tasks are claimed without a pause
+        log.debug(
+            "recorded allocations of job %s: %s",
+            job.id,
+            [(placement.machine, placement.tasks) for placement in job_placements],
+        )
+
+    def _completions_freeing_quota(self, placements: dict[str, list[Placement]]) -> list[JobEdit]:
+        """Return edits that record completions of other jobs, whose usage must be freed to claim within a team's limit.
+
+        Usage must be deducted before it is added: these edits precede the claims, in the same transaction or an earlier
+        one.
         """
         edits: list[JobEdit] = []
-        for name, usage in self._usage_with_claims(placements).items():
-            limit = self.settings.teams.get(name)
+        for team, usage in self._usage_with_claims(placements).items():
+            limit = self.settings.teams.get(team)
             if limit is None:
                 continue
-            for freed, edit in self.completions.edits_for_team(name):
-                # each of them costs a change: no more than make room
+            for freed, edit in self.completions.edits_for_team(team):
+                # each edit costs a write, so only as many as needed
                 if limit.allows(usage.cpus, usage.gpus):
                     break
                 if edit.job_id not in placements:
@@ -98,71 +111,72 @@
         return edits
 
     def _usage_with_claims(self, placements: dict[str, list[Placement]]) -> dict[str, TeamUsage]:
-        """What teams would use once all their placements are claimed."""
+        """Return the teams' usage if all their placements are claimed."""
         usages: dict[str, TeamUsage] = {}
-        held = self.coordinator.held_zones()
-        for name, group in placements.items():
-            job = self.job_writer.job_cache.get(name)
+        held_zones = self.coordinator.held_zones()
+        for job_id, job_placements in placements.items():
+            job = self.job_writer.job_cache.get(job_id)
             if job is None:
                 continue
             team = job.spec.team
-            usage = usages.get(team) or self.job_writer.job_cache.team(team, held)
-            if name in self.completions.unrecorded:  # these go with the claim anyway
-                usage = usage.minus(self.completions.unrecorded[name].amounts(job.spec))
-            usages[team] = usage.with_tasks_allocated(job.spec, sum(placement.tasks for placement in group))
+            usage = usages.get(team) or self.job_writer.job_cache.team(team, held_zones)
+            if job_id in self.completions.unrecorded:  # the claim records these completions
+                usage = usage.minus(self.completions.unrecorded[job_id].amounts(job.spec))
+            usages[team] = usage.with_tasks_allocated(job.spec, sum(placement.tasks for placement in job_placements))
         return usages
 
     def _with_claims(
         self,
         job: Job,
         usage: TeamUsage,
-        group: list[Placement],
+        job_placements: list[Placement],
         machines: dict[str, ScheduledMachine],
-        at: float,
-        end: UnrecordedCompletions | None,
+        allocated_at: float,
+        unrecorded: UnrecordedCompletions | None,
     ) -> Job | None:
-        """The job with claims for a group of placements; None if it can't have them.
+        """Return the job with claims for its placements added; None if they aren't allowed.
 
-        The rules that span several controllers' machines are checked against the very records that the transaction
-        compares.
+        Rules that span the machines of several controllers are checked against the same record versions that the
+        transaction compares.
         """
-        if end is not None:
-            before, job = job, self.completions.job_with_completions(job, usage, end)
+        if unrecorded is not None:
+            before, job = job, self.completions.job_with_completions(job, usage, unrecorded)
             usage = usage.with_tasks_ended(job.spec, before.allocated_count - job.allocated_count)
         pending = job.pending
-        gang = job.spec.kind == "gang"
-        if gang and not self._may_claim_gang(job, pending, group, at):
+        is_gang = job.spec.kind == "gang"
+        if is_gang and not self._may_claim_gang(job, pending, job_placements, allocated_at):
             return None
-        allocations = self._allocations(job, pending, usage, group, machines, at)
-        if not allocations or (gang and sum(allocation.tasks for allocation in allocations) != pending):
+        allocations = self._allocate_tasks(job, pending, usage, job_placements, machines, allocated_at)
+        if not allocations or (is_gang and sum(allocation.tasks for allocation in allocations) != pending):
             return None
         return self._within_record_limits(job, allocations)
 
-    def _may_claim_gang(self, job: Job, pending: int, group: list[Placement], at: float) -> bool:
-        """Whether the placements are for the whole gang, or complete one that hasn't begun to run."""
-        if sum(placement.tasks for placement in group) != pending.bit_count():
+    def _may_claim_gang(self, job: Job, pending: int, job_placements: list[Placement], allocated_at: float) -> bool:
+        """Return whether the placements are for the whole gang, or complete one that hasn't started to run."""
+        if sum(placement.tasks for placement in job_placements) != pending.bit_count():
             return False
-        return not job.allocations or self.pending_jobs.still_gathers(job, at)
+        return not job.allocations or self.pending_jobs.is_waiting_to_start(job, allocated_at)
 
-    def _allocations(
+    def _allocate_tasks(
         self,
         job: Job,
         pending: int,
         usage: TeamUsage,
-        group: list[Placement],
+        job_placements: list[Placement],
         machines: dict[str, ScheduledMachine],
-        at: float,
+        allocated_at: float,
     ) -> list[Allocation]:
-        """Allocations of pending tasks, as far as zones' room and the team's limit allow.
+        """Return allocations of pending tasks, as far as zone constraints and the team's limit allow.
 
-        None at all if a task was told to a machine under the same attempt: it would not be started a second time.
+        Returns no allocations if one of the tasks was already sent to its machine with the same attempt, since the
+        machine wouldn't start it a second time.
         """
         spec = job.spec
         team = self.settings.teams.get(spec.team)
         attempt = _next_attempt(job)
         request = TaskRequest(job.id, spec, value_of(Demand(0), 0, 1), 1, pending.bit_count(), job.per_zone())
         allocations: list[Allocation] = []
-        for placement in group:
+        for placement in job_placements:
             machine = machines[placement.machine].machine
             tasks = lowest(pending, min(placement.tasks, request.zone_headroom(machine.zone)))
             if not tasks:
@@ -175,25 +189,26 @@
                 break
             request.add_to_zone(machine.zone, count)
             pending &= ~tasks
-            allocations.append(Allocation(machine.name, machine.session, attempt, tasks, at, machine.zone))
+            allocations.append(Allocation(machine.name, machine.session, attempt, tasks, allocated_at, machine.zone))
         return allocations
 
     def _within_record_limits(self, job: Job, allocations: list[Allocation]) -> Job | None:
-        """The job with as many of the allocations as its record holds: the rest follows as these end.
+        """Return the job with as many of the allocations as fit into its record; the rest follows as these end.
 
-        A gang gets all of them, and so does a job that has none yet; None if a job with others has no room for one.
+        A gang gets all of them, and a job without allocations at least one, whatever the size of its record. None if
+        not even one fits into the record of another job.
         """
-        gang = job.spec.kind == "gang"
+        is_gang = job.spec.kind == "gang"
         limits = self.job_writer.record_limits
         new = job.with_allocations(allocations)
-        while not gang and len(allocations) > 1 and not limits.fits(new, job):
+        while not is_gang and len(allocations) > 1 and not limits.fits(new, job):
             allocations = allocations[: len(allocations) // 2]
             new = job.with_allocations(allocations)
-        return new if gang or not job.allocations or limits.fits(new, job) else None
+        return new if is_gang or not job.allocations or limits.fits(new, job) else None
 
 
 def _next_attempt(job: Job) -> int:
-    """The attempt of new claims: a gang's replacements have that of the tasks that wait for them."""
+    """Return the attempt number of new claims; replacements in a gang get that of the tasks that wait for them."""
     if job.spec.kind == "gang" and job.allocations:
         return job.allocations[0].attempt
     return job.started + 1
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -1,6 +1,7 @@
-"""Pending jobs: what they are worth, how many of their tasks may start, and what pipelines ask of them.
+"""Requests for pending jobs: their value, how many of their tasks may start, and the demands of their pipelines.
 
-`now` is steady time and `clock` the time of day throughout; value functions are of the time of day.
+Throughout, `now` is monotonic time and `wall_time` wall-clock time, both in seconds; value functions use wall-clock
+time.
 """
 
 from __future__ import annotations
@@ -34,16 +35,16 @@
 from tidebend.settings import Settings
 from tidebend.zone_failover import without_lost_zones
 
-# what is placed a moment from now holds its slot for the rest of the event, and doesn't start
+# A request with this delay gets place-holders only: they reserve their slots in this event, and nothing starts.
 PLACE_HOLDER_DELAY_S = 0.001
-# a job none of which has begun keeps a standing reservation after so many of the workers' leases
+# a job of which no task has started gets a standing reservation after this many worker leases
 RESERVED_AFTER_LEASES = 10.0
-# the shortest run time that is reckoned with, in seconds
-LEAST_ESTIMATE_S = 0.1
+# lower bound on run-time estimates
+MIN_ESTIMATE_S = 0.1
 
 
 class PendingJobs:
-    """Makes requests for mapping events of jobs' pending tasks."""
+    """Creates the requests of jobs' pending tasks for mapping events."""
 
     def __init__(
         self,
@@ -51,54 +52,59 @@
         coordinator: Coordinator,
         job_cache: JobCache,
         machine_registry: MachineRegistry,
-        types: Callable[[], dict[str, MachineType]],
+        machine_types: Callable[[], dict[str, MachineType]],
         estimates: RunTimeEstimates,
         completions: CompletionTracker,
     ) -> None:
-        """`types` gives the provider's machine types by name."""
+        """`machine_types` returns the provider's machine types by name."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_cache = job_cache
         self.machine_registry = machine_registry
-        self.types = types
+        self.machine_types = machine_types
         self.estimates = estimates
         self.completions = completions
         self.reserved_after_s = RESERVED_AFTER_LEASES * settings.lease_s
-        # a service without an estimate counts as long as a worker's lease when values are compared
+        # run time assumed for services, which have no estimate, when values are compared: a worker's lease
         self.service_estimate_s = settings.lease_s
-        self._demands: dict[str, Demand] = {}  # of jobs that others need, and of those others
+        self._demands: dict[str, Demand] = {}  # by job id, of jobs with dependents and of the dependents
 
     def update_demands(self) -> None:
-        """Find out what the jobs of pipelines are asked for by those that need them, however late these came."""
-        after = self.job_cache.dependents()
+        """Recompute the demands of pipelines' jobs, including those of dependents submitted later."""
+        dependents_by_job = self.job_cache.dependents()
         own: dict[str, Demand] = {}
-        length: dict[str, float] = {}
-        for name in {*after, *(waiter for waiters in after.values() for waiter in waiters)}:
-            job = self.job_cache.get(name)
+        durations: dict[str, float] = {}
+        for job_id in {
+            *dependents_by_job,
+            *(dependent for dependents in dependents_by_job.values() for dependent in dependents),
+        }:
+            job = self.job_cache.get(job_id)
             if job is not None and not job.cancelled:
                 estimate = self.estimates.corrected(job.spec)
-                own[name] = self._own_demand(job, estimate)
-                length[name] = self._step_s(job.spec, estimate)
-        self._demands = propagate_demands(own, length, after)
+                own[job_id] = self._own_demand(job, estimate)
+                durations[job_id] = self._pipeline_step_s(job.spec, estimate)
+        self._demands = propagate_demands(own, durations, dependents_by_job)
 
-    def request(self, job: Job, now: float, clock: float, zones: Collection[str] | None = None) -> TaskRequest | None:
-        """The request for a job's pending tasks; None if none may start now.
+    def request(
+        self, job: Job, now: float, wall_time: float, zones: Collection[str] | None = None
+    ) -> TaskRequest | None:
+        """Return the request for a job's pending tasks; None if none may start now.
 
-        `zones` are those whose shards we hold: the request goes as far as the team's limit allows there. None: in all
-        zones together.
+        `zones` are those whose shards this controller holds: the request is limited to the team's headroom there. If
+        `zones` is None, it is limited to the headroom over all zones.
         """
         pending = job.pending
         if not pending:
             return None
         spec = job.spec
-        gang = spec.kind == "gang"
-        if gang and job.allocations and not self.still_gathers(job, clock):
-            return None  # the attempt before it must be over: a gang starts whole
+        is_gang = spec.kind == "gang"
+        if is_gang and job.allocations and not self.is_waiting_to_start(job, wall_time):
+            return None  # a gang starts as a whole, so the previous attempt must have ended
         is_crash_looping = self.completions.is_crash_looping(job, now)
         if is_crash_looping and job.allocations:
-            return None  # it is being tried
+            return None  # a retry of the crash-looping job is in progress
         estimate = self._estimate_s(spec)
-        waiting = 1 if is_crash_looping and not gang else pending.bit_count()
+        waiting = 1 if is_crash_looping and not is_gang else pending.bit_count()
         used = self.job_cache.used(spec.team)
         value = value_of(
             self._demand(job, estimate), job.startable_since, estimate, self._is_within_guarantee(spec, used)
@@ -111,58 +117,58 @@
             waiting=waiting,
             tasks_by_zone=job.per_zone(),
             headroom=self._headroom(spec, waiting, used, zones),
-            reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, clock),
-            not_before=self._backed_off_until(job, now, clock),
-            resource_share=largest_share(spec, list(self.types().values())),
+            reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, wall_time),
+            not_before=self._backed_off_until(job, now, wall_time),
+            resource_share=largest_share(spec, list(self.machine_types().values())),
             start_by=job.startable_since + self.settings.start_objectives.get(spec.job_class, math.inf),
             avoids_gpus=self._can_avoid_gpus(spec),
             avoided_machines=self._avoided_machines(job, is_crash_looping, now),
         )
 
-    def requests_soon_ready(self, now: float, clock: float) -> list[TaskRequest]:
-        """Requests for jobs that wait for others whose last tasks are running.
+    def requests_soon_ready(self, now: float, wall_time: float) -> list[TaskRequest]:
+        """Return requests of blocked jobs whose dependencies are running their last tasks.
 
-        Their `not_before` is the time at which they are expected to be ready.
+        Their `not_before` is the time at which the jobs are expected to be ready.
         """
         requests = []
-        after = self.job_cache.dependents()
-        for name in {waiter for waiters in after.values() for waiter in waiters}:
-            job = self.job_cache.get(name)
+        dependents_by_job = self.job_cache.dependents()
+        for job_id in {dependent for dependents in dependents_by_job.values() for dependent in dependents}:
+            job = self.job_cache.get(job_id)
             if job is None or not job.blocked or job.cancelled:
                 continue
-            ready_in = self._ready_in_s(job, after, clock)
+            ready_in = self._ready_in_s(job, dependents_by_job, wall_time)
             if ready_in is None:
                 continue
-            request = self.request(job.with_dependencies_done(clock + ready_in), now, clock)
+            request = self.request(job.with_dependencies_done(wall_time + ready_in), now, wall_time)
             if request is not None:
-                request.not_before = max(request.not_before, clock + ready_in)
+                request.not_before = max(request.not_before, wall_time + ready_in)
                 requests.append(request)
         return requests
 
     def relocation_request(
-        self, job: Job, lost_zones: set[str], our_share: Callable[[int], int], now: float, clock: float
+        self, job: Job, lost_zones: set[str], held_share: Callable[[int], int], now: float, wall_time: float
     ) -> TaskRequest | None:
-        """The request for room elsewhere for a service's replicas in lost zones; None if it has none there.
+        """Return the request for capacity elsewhere for a service's replicas in lost zones; None if it has none there.
 
-        `our_share` tells for how many of so many replicas it falls to our shards to hold room.
+        `held_share` returns for how many of a number of replicas the held shards have to reserve capacity.
         """
         if job.spec.kind != "service" or job.cancelled:
             return None
         remaining = without_lost_zones(job, lost_zones)
         if remaining is None:
             return None
-        request = self.request(remaining, now, clock)
+        request = self.request(remaining, now, wall_time)
         if request is None:
             return None
-        tasks = our_share(remaining.pending.bit_count() - job.pending.bit_count())
+        tasks = held_share(remaining.pending.bit_count() - job.pending.bit_count())
         if not tasks:
             return None
-        # where they run they count for the team's limit already, which has room for them therefore
-        not_before = clock + PLACE_HOLDER_DELAY_S
+        # these replicas already count against the team's limit, so they don't need headroom
+        not_before = wall_time + PLACE_HOLDER_DELAY_S
         return replace(request, waiting=tasks, headroom=tasks, not_before=not_before, relocating=True)
 
     def unmet_guarantees(self, teams: Iterable[str]) -> dict[str, GuaranteeBalance]:
-        """What these teams have still to get of their guarantees, over all zones; by team, unless it isn't known."""
+        """Return the unused guarantees of those of these teams that are known, by team, over all zones."""
         unmet = {}
         for name in teams:
             team = self.settings.teams.get(name)
@@ -171,24 +177,25 @@
                 unmet[name] = GuaranteeBalance(team.cpus - used[0] + freed[0], team.gpus - used[1] + freed[1])
         return unmet
 
-    def still_gathers(self, job: Job, clock: float) -> bool:
-        """Whether a gang's attempt hasn't begun to run, so that replacements for lost tasks complete it.
+    def is_waiting_to_start(self, job: Job, wall_time: float) -> bool:
+        """Return whether a gang's attempt hasn't started to run, so that replacements of lost tasks can complete it.
 
-        All its machines must be ours to know that, and a replacement must have its image while the others wait.
+        This is known only if this controller holds the zones of all its machines. The replacements must also be able to
+        fetch their image while the other tasks still wait.
         """
         held = self.coordinator.held_zones()
         attempt = job.allocations[0].attempt
         for allocation in job.allocations:
             if allocation.zone not in held or allocation.attempt != attempt:
                 return False
-            if not self._hasnt_begun(job, allocation):
+            if not self._has_not_started(job, allocation):
                 return False
         fetch_s = max(self._fetch_times_s(job.spec), default=0.0)
-        gathers_since = min(allocation.allocated_at for allocation in job.allocations)
-        return clock + fetch_s - gathers_since < self.settings.gang_wait_s
+        waiting_since = min(allocation.allocated_at for allocation in job.allocations)
+        return wall_time + fetch_s - waiting_since < self.settings.gang_wait_s
 
-    def _hasnt_begun(self, job: Job, allocation: Allocation) -> bool:
-        """Whether an allocation's machine is still in the same session and runs none of its tasks yet."""
+    def _has_not_started(self, job: Job, allocation: Allocation) -> bool:
+        """Return whether an allocation's machine is still in the same session and has started none of its tasks."""
         with self.machine_registry.lock:
             machine = self.machine_registry.machines.get(allocation.machine)
             if machine is None or machine.session != allocation.session:
@@ -199,29 +206,29 @@
                     return False
         return True
 
-    def _ready_in_s(self, job: Job, after: dict[str, list[str]], clock: float) -> float | None:
-        """Seconds until all that a blocked job needs is expected to be done; None if some of it isn't running yet."""
+    def _ready_in_s(self, job: Job, dependents_by_job: dict[str, list[str]], wall_time: float) -> float | None:
+        """Return the seconds until a blocked job's dependencies are expected to be done; None if one isn't running."""
         ready_in = 0.0
-        for name in job.dependencies:
-            if name not in after or self.job_cache.final(name) is not None:
+        for job_id in job.dependencies:
+            if job_id not in dependents_by_job or self.job_cache.final(job_id) is not None:
                 continue
-            dependency = self.job_cache.get(name)
+            dependency = self.job_cache.get(job_id)
             if dependency is None or dependency.pending or not dependency.allocations:
                 return None
             if dependency.spec.kind == "service":
                 return None
             estimate = self.estimates.corrected(dependency.spec)
             for allocation in dependency.allocations:
-                ready_in = max(ready_in, estimate - (clock - allocation.allocated_at))
+                ready_in = max(ready_in, estimate - (wall_time - allocation.allocated_at))
         return ready_in
 
     def _estimate_s(self, spec: JobSpec) -> float:
         if spec.kind == "service":
             return self.service_estimate_s
-        return max(self.estimates.corrected(spec), LEAST_ESTIMATE_S)
+        return max(self.estimates.corrected(spec), MIN_ESTIMATE_S)
 
     def _headroom(self, spec: JobSpec, waiting: int, used: QuotaAmountLike, zones: Collection[str] | None) -> int:
-        """How many of the waiting tasks the team's limit allows in these zones."""
+        """Return how many of the waiting tasks the team's limit allows in these zones."""
         team = self.settings.teams.get(spec.team)
         if team is None:
             return waiting
@@ -235,7 +242,7 @@
         return headroom
 
     def _is_within_guarantee(self, spec: JobSpec, used: QuotaAmountLike) -> bool:
-        """Whether one more task is within its team's guarantee, over all zones."""
+        """Return whether one more task is within its team's guarantee, over all zones."""
         team = self.settings.teams.get(spec.team)
         if team is None:
             return False
@@ -244,20 +251,22 @@
             return False
         return spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + EPSILON
 
-    def _backed_off_until(self, job: Job, now: float, clock: float) -> float:
-        """The time of day before which a job that fails isn't tried again; 0 for others."""
+    def _backed_off_until(self, job: Job, now: float, wall_time: float) -> float:
+        """Return the wall-clock time until which a failing job isn't retried; 0 for other jobs."""
         backoff = self.completions.backoffs.get(job.id)
-        return clock + max(0.0, backoff.not_before - now) if backoff else 0.0
+        return wall_time + max(0.0, backoff.not_before - now) if backoff else 0.0
 
     def _can_avoid_gpus(self, spec: JobSpec) -> bool:
-        """Whether a job needs no GPUs and fits a machine type that has none."""
-        return spec.gpus <= 0 and any(kind.gpus <= 0 and kind.fits(spec) for kind in self.types().values())
+        """Return whether a job needs no GPUs and fits a machine type without GPUs."""
+        return spec.gpus <= 0 and any(
+            machine_type.gpus <= 0 and machine_type.fits(spec) for machine_type in self.machine_types().values()
+        )
 
     def _avoided_machines(self, job: Job, is_crash_looping: bool, now: float) -> frozenset[str]:
         return self.completions.machines_to_avoid(job, now) if is_crash_looping else self._machines_with_attempt(job)
 
     def _machines_with_attempt(self, job: Job) -> frozenset[str]:
-        """Machines that still know the attempt of a gang's missing tasks: there no replacement would be started."""
+        """Return machines that know the attempt of a gang's missing tasks, and so wouldn't start a replacement."""
         if job.spec.kind != "gang" or not job.allocations:
             return frozenset()
         keys = {(job.id, index, job.allocations[0].attempt) for index in members(job.pending)}
@@ -266,17 +275,18 @@
                 name for name, machine in self.machine_registry.machines.items() if keys & machine.tasks.keys()
             )
 
-    def _reserved_since(self, job: Job, value: Value, clock: float) -> float | None:
-        """The time of day since which a job keeps a standing reservation; None if it doesn't.
+    def _reserved_since(self, job: Job, value: Value, wall_time: float) -> float | None:
+        """Return the wall-clock time since which a job has a standing reservation; None if it has none.
 
-        It does past its soft deadline, while it is worth anything; and once it has waited for long and none of it has
-        begun. Guards against small jobs that come faster than the machines allow and are worth more per resource at
-        every event: large jobs and long ones waited until they were worth nothing, and were then placed last.
+        A job has one between its soft and hard deadline, and also if none of its tasks has started for a long time.
+        This prevents starvation of large and long jobs by small ones that arrive faster than the machines can run them
+        and have a higher value per resource at every event: large jobs would wait until their value is zero, and then
+        be placed last.
         """
         reserved_from = job.startable_since + self.reserved_after_s
-        if not job.started and clock > reserved_from:
+        if not job.started and wall_time > reserved_from:
             return min(reserved_from, value.soft_deadline)
-        return value.soft_deadline if is_reserved(value, clock) else None
+        return value.soft_deadline if is_reserved(value, wall_time) else None
 
     def _demand(self, job: Job, estimate: float) -> Demand:
         return self._demands.get(job.id) or self._own_demand(job, estimate)
@@ -286,13 +296,17 @@
             job.spec, job.submitted, estimate, self.settings.deadline_objectives.get(job.spec.job_class, 1.0)
         )
 
-    def _step_s(self, spec: JobSpec, estimate: float) -> float:
-        """Seconds that a step of a pipeline takes once it is ready.
+    def _pipeline_step_s(self, spec: JobSpec, estimate: float) -> float:
+        """Return the seconds that a step of a pipeline takes once it is ready.
 
-        Its image may have to be fetched, and its start is reported and so is its end.
+        This includes the fetch of its image and a report interval until its start and end are known.
         """
         return estimate + min(self._fetch_times_s(spec), default=0.0) + self.settings.report_s
 
     def _fetch_times_s(self, spec: JobSpec) -> list[float]:
-        """Seconds that the job's image takes to be fetched, on each type of machine that fits it."""
-        return [kind.fetch_s(spec.image_gb) for kind in self.types().values() if kind.fits(spec)]
+        """Return the fetch times of the job's image in seconds, on each machine type that fits the job."""
+        return [
+            machine_type.fetch_s(spec.image_gb)
+            for machine_type in self.machine_types().values()
+            if machine_type.fits(spec)
+        ]
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: tasks of a lower priority are stopped for waiting services, those that lose least."""
+"""Preemption of lower-priority tasks for waiting services, with the least loss of work."""
 
 from __future__ import annotations
 
@@ -32,46 +32,45 @@
 
 log = logging.getLogger("scheduler")
 
-# a task that saves its state is given so many times as long as its save takes
+# grace period of a task with checkpoints, as a multiple of the time to save one
 GRACE_PER_SAVE = 1.5
-# after stops for a job no further ones are made for it for so many of the workers' report intervals
+# after a preemption for a job, there is no other for it for this many report intervals
 REPORTS_TO_STOP = 2.0
 
 
 class Victim(NamedTuple):
-    """A running task that may be stopped. Victims compare by what is lost with them, the least first."""
+    """A running task that may be preempted. Victims compare by the work lost, the least first."""
 
-    loss: float  # CPU seconds of work
+    loss: float  # lost work in CPU seconds
     key: TaskKey
-    grace_s: float  # seconds it is given to save its state
+    grace_s: float  # grace period for saving a checkpoint
     amount: Amount
     priority: int  # index of `PRIORITIES`
 
 
 class MachineWithVictims(NamedTuple):
-    """A machine on which room could be made."""
+    """A machine with tasks that may be preempted."""
 
     candidate: CandidateMachine
     machine: Machine
     free: Amount
-    victims: list[Victim]  # in order
+    victims: list[Victim]  # sorted
 
 
-class StopPlan(NamedTuple):
-    """The stops that make room for one task on a machine. Plans compare by the task's wait, then by the loss.
+class PreemptionPlan(NamedTuple):
+    """The preemptions that free capacity for one task on a machine. Plans compare by fetch time, then by loss.
 
-    Room on a machine that has the image is used at once; a fetch often takes longer than the objective for starts
-    allows.
+    A machine that has the image is preferred, since a fetch often takes longer than the objective for starts allows.
     """
 
     fetch_s: float
     loss: float
     machine_index: int  # among the machines with victims
-    stops: list[tuple[TaskKey, float]]  # tasks and their grace in seconds
+    stops: list[tuple[TaskKey, float]]  # tasks to stop and their grace periods in seconds
 
 
 class Preemptor:
-    """Stops tasks for services that find no room, a machine at a time."""
+    """Preempts tasks for services that fit on no machine."""
 
     def __init__(
         self,
@@ -82,43 +81,44 @@
         claim_stagger: ClaimStagger,
         send: Callable[[set[str]], None],
     ) -> None:
-        """`send` sends machines, by name, the commands that stop tasks."""
+        """`send` sends the machines with these names the commands that stop tasks."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_cache = job_cache
         self.machine_registry = machine_registry
         self.claim_stagger = claim_stagger
         self.send = send
-        self._until: dict[str, float] = {}  # job -> steady time until which stopped tasks may take to end
+        # job id -> monotonic time until which tasks preempted for it may take to end
+        self._stopping_until: dict[str, float] = {}
 
-    def forget(self, name: str) -> None:
-        """Forget a job that waits no more."""
-        self._until.pop(name, None)
+    def forget(self, job_id: str) -> None:
+        """Forget a job that is no longer pending."""
+        self._stopping_until.pop(job_id, None)
 
-    def make_room(
-        self, requests: list[TaskRequest], machines: dict[str, ScheduledMachine], now: float, clock: float
+    def preempt_for_services(
+        self, requests: list[TaskRequest], machines: dict[str, ScheduledMachine], now: float, wall_time: float
     ) -> None:
-        """Stop what loses least, for waiting services of a higher priority that find no room now."""
+        """Preempt lower-priority tasks for waiting services that fit on no machine now."""
         shards = sorted(self.coordinator.table())
-        ours = {shard_of(scheduled.candidate.zone) for scheduled in machines.values()}
+        held_shards = {shard_of(scheduled.candidate.zone) for scheduled in machines.values()}
         with_victims: list[MachineWithVictims] | None = None
         for request in requests:
-            rank = PRIORITIES.index(request.spec.priority)
-            if rank == 0 or request.is_gang or not request.is_service or request.headroom < 1:
+            priority = PRIORITIES.index(request.spec.priority)
+            if priority == 0 or request.is_gang or not request.is_service or request.headroom < 1:
                 continue
-            if not self._is_due(request, shards, ours, now) or request.not_before > clock:
+            if not self._is_due(request, shards, held_shards, now) or request.not_before > wall_time:
                 continue
             if with_victims is None:
                 with_victims = self._machines_with_victims(machines.values(), now)
-            self.preempt_for(request, rank, with_victims, now)
+            self.preempt_for(request, priority, with_victims, now)
 
-    def preempt_for(self, request: TaskRequest, rank: int, machines: list[MachineWithVictims], now: float) -> None:
-        """Stop tasks for as many replicas as wait: one after the other they would be missed for long.
+    def preempt_for(self, request: TaskRequest, priority: int, machines: list[MachineWithVictims], now: float) -> None:
+        """Preempt tasks for all waiting replicas at once, since doing so one by one would leave replicas down for long.
 
-        `rank` is the request's priority as an index of `PRIORITIES`. Machines on which room is made are taken out of
-        the list.
+        `priority` is the request's priority as an index of `PRIORITIES`. Machines on which tasks are preempted are
+        removed from the list.
         """
-        plans = self._stop_plans(request, rank, machines)
+        plans = self._preemption_plans(request, priority, machines)
         zone_headroom = {row.candidate.zone: request.zone_headroom(row.candidate.zone) for row in machines}
         used: set[int] = set()
         for plan in sorted(plans):
@@ -132,73 +132,75 @@
             self._stop(machine, plan, request)
         if used:
             self.send({machines[index].machine.name for index in used})
-            self._until[request.job_id] = now + REPORTS_TO_STOP * self.settings.report_s
+            self._stopping_until[request.job_id] = now + REPORTS_TO_STOP * self.settings.report_s
             machines[:] = [row for index, row in enumerate(machines) if index not in used]
 
-    def _is_due(self, request: TaskRequest, shards: list[str], ours: set[str], now: float) -> bool:
-        """Whether it is for us now to stop tasks for a request.
+    def _is_due(self, request: TaskRequest, shards: list[str], held_shards: set[str], now: float) -> bool:
+        """Return whether this controller should preempt tasks for a request now.
 
-        Every shard has had time to place it without stopping anything; after that they wait for different times before
-        they stop tasks, too.
+        First every shard gets time to place the request without preemption; after that, preemptions are staggered by
+        shard as well.
         """
-        if now < self._until.get(request.job_id, 0.0):
+        if now < self._stopping_until.get(request.job_id, 0.0):
             return False
         pending_since = self.claim_stagger.pending_since(request.job_id)
         if pending_since is None:
             return False
         order = shard_order(request.job_id, shards)
-        position = min((order.index(shard) for shard in ours), default=0)
+        position = min((order.index(shard) for shard in held_shards), default=0)
         wait_s = (2 * len(shards) + 1) * self.claim_stagger.interval_s + position * self.settings.report_s
         return now - pending_since >= wait_s
 
     def _machines_with_victims(self, machines: Collection[ScheduledMachine], now: float) -> list[MachineWithVictims]:
         found = []
         for candidate, machine, _ in machines:
-            # while tasks are being stopped on a machine room is being made there already
+            # a machine on which tasks are being stopped is already being freed
             if not machine.stop_requests and candidate.reclaimed_at == math.inf:
                 free, victims = self._free_and_victims(machine, candidate.type, now)
                 if victims:
                     found.append(MachineWithVictims(candidate, machine, free, victims))
         return found
 
-    def _free_and_victims(self, machine: Machine, kind: MachineType, now: float) -> tuple[Amount, list[Victim]]:
-        """What a machine has free, and its tasks that may be stopped, those that lose least first."""
-        free = (kind.cpus, kind.gpus, kind.memory_gb)
+    def _free_and_victims(self, machine: Machine, machine_type: MachineType, now: float) -> tuple[Amount, list[Victim]]:
+        """Return a machine's free capacity and its preemptible tasks, those with the least loss first."""
+        free = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         victims = []
         for job, allocation in self.job_cache.on_machine(machine.name):
             need = need_of(job.spec)
             for index in members(allocation.tasks):
                 free = subtract(free, need)
-                if _may_be_stopped(job.spec):
+                if _is_preemptible(job.spec):
                     victims.append(_victim(machine, job, allocation, index, now))
         return free, sorted(victims)
 
     @staticmethod
-    def _stop_plans(request: TaskRequest, rank: int, machines: list[MachineWithVictims]) -> list[StopPlan]:
-        """Plans for the machines on which the request may be placed and stops can make room for it."""
+    def _preemption_plans(
+        request: TaskRequest, priority: int, machines: list[MachineWithVictims]
+    ) -> list[PreemptionPlan]:
+        """Return plans for the machines on which the request may be placed and preemption frees enough capacity."""
         need = need_of(request.spec)
-        # Guards against GPU machines that are cleared for replicas that then keep off them. Kept by what decides about
-        # machines alike, as many of them are.
+        # Without `allowed_on`, GPU machines would be cleared for replicas that avoid GPUs. Results are cached by type,
+        # zone and spot, on which they depend, since many machines share these.
         allowed: dict[tuple[str, str, bool], bool] = {}
         plans = []
         for index, (candidate, _, free, victims) in enumerate(machines):
-            kind = (candidate.type.name, candidate.zone, candidate.spot)
-            if kind not in allowed:
-                allowed[kind] = allowed_on(request, candidate)
-            if not allowed[kind] or request.zone_headroom(candidate.zone) < 1:
+            machine_class = (candidate.type.name, candidate.zone, candidate.spot)
+            if machine_class not in allowed:
+                allowed[machine_class] = allowed_on(request, candidate)
+            if not allowed[machine_class] or request.zone_headroom(candidate.zone) < 1:
                 continue
-            chosen = _cheapest(free, victims, need, rank)
+            chosen = _cheapest_victims(free, victims, need, priority)
             if chosen:
                 loss = sum(victim.loss for victim in chosen)
                 stops = [(victim.key, victim.grace_s) for victim in chosen]
-                plans.append(StopPlan(candidate.fetch_s(request.spec), loss, index, stops))
+                plans.append(PreemptionPlan(candidate.fetch_s(request.spec), loss, index, stops))
         return plans
 
-    def _stop(self, machine: Machine, plan: StopPlan, request: TaskRequest) -> None:
+    def _stop(self, machine: Machine, plan: PreemptionPlan, request: TaskRequest) -> None:
         with self.machine_registry.lock:
             machine.stop_requests.update(plan.stops)
         log.info(
-            "machine %s: %s make room for %s, %.0f s of work lost",
+            "machine %s: preempting tasks %s for job %s; %.0f CPU seconds of work lost",
             machine.name,
             [key[:2] for key, _ in plan.stops],
             request.job_id,
@@ -206,13 +208,16 @@
         )
 
 
-def _may_be_stopped(spec: JobSpec) -> bool:
-    """A gang of several loses all its tasks' work with one of them, and isn't stopped in order yet."""
+def _is_preemptible(spec: JobSpec) -> bool:
+    """Return whether a job's tasks may be preempted.
+
+    A gang of several tasks is exempt: it loses the work of all of them with one, and can't be stopped as a whole yet.
+    """
     return spec.kind == "array" or (spec.kind == "gang" and spec.tasks == 1)
 
 
 def _victim(machine: Machine, job: Job, allocation: Allocation, index: int, now: float) -> Victim:
-    """A task with what is lost if it is stopped now: all its work, or a save's time if it saves its state."""
+    """Return a task with its loss if preempted now: all its work, or with checkpoints at most the time of a save."""
     spec = job.spec
     key = (job.id, index, allocation.attempt)
     running_since = machine.running_since.get(key)
@@ -224,13 +229,16 @@
     return Victim(lost_s * spec.cpus, key, grace_s, need_of(spec), PRIORITIES.index(spec.priority))
 
 
-def _cheapest(free: Amount, victims: list[Victim], need: Amount, rank: int) -> list[Victim]:
-    """The victims of a lower priority, in their order, that make room for one task; none if they can't or needn't."""
+def _cheapest_victims(free: Amount, victims: list[Victim], need: Amount, priority: int) -> list[Victim]:
+    """Return the first lower-priority victims that free enough capacity for one task.
+
+    The list is empty if they can't, or if the task fits without preemption.
+    """
     chosen: list[Victim] = []
     for victim in victims:
         if fits(free, need):
             break
-        if victim.priority < rank:
+        if victim.priority < priority:
             chosen.append(victim)
             free = add(free, victim.amount)
     return chosen if fits(free, need) else []
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -1,6 +1,6 @@
-"""A controller's mapping events: completions are recorded, pending tasks are claimed, room is made by preemption.
+"""A controller's mapping events: claiming pending tasks, preempting tasks for services, and recording completions.
 
-`now` is steady time and `clock` the time of day throughout, both in seconds.
+Throughout, `now` is monotonic time and `wall_time` wall-clock time, both in seconds.
 """
 
 from __future__ import annotations
@@ -35,18 +35,19 @@
 
 log = logging.getLogger("scheduler")
 
-# planning rests for this many times as long as its last event took, and at most for a share of a worker's lease
-REST_PER_EVENT = 12.0
-LONGEST_REST_LEASES = 0.2
-# the pause between two events, as a share of the workers' report interval, and at most in seconds
-PAUSE_PER_REPORT = 0.1
-LONGEST_PAUSE_S = 0.25
-# the pause after an event that failed unexpectedly
+# pause between two runs of planning, as a multiple of the last run's duration, with an upper bound as a share of a
+# worker's lease
+PLANNING_PAUSE_PER_EVENT = 12.0
+MAX_PLANNING_PAUSE_LEASES = 0.2
+# pause between two mapping events, as a share of the workers' report interval, with an upper bound in seconds
+LOOP_PAUSE_PER_REPORT = 0.1
+MAX_LOOP_PAUSE_S = 0.25
+# pause after a mapping event that failed unexpectedly
 PAUSE_AFTER_FAILURE_S = 1.0
 
 
 class SchedulingLoop:
-    """Runs a mapping event whenever something has changed, and at intervals, in a thread of its own."""
+    """Runs mapping events in a separate thread, after changes and at regular intervals."""
 
     def __init__(
         self,
@@ -57,12 +58,12 @@
         job_writer: JobWriter,
         cancellation_sealer: CancellationSealer,
         quota_rebalancer: QuotaRebalancer,
-        types: Callable[[], dict[str, MachineType]],
+        machine_types: Callable[[], dict[str, MachineType]],
         send: Callable[[set[str]], None],
         peers_crash_looping: Callable[[], frozenset[str]],
-        look_up_finals: Callable[[list[str], str], None],
+        look_up_final_states: Callable[[list[str], str], None],
     ) -> None:
-        """`types` gives the provider's machine types by name; `send` sends machines the commands due to them."""
+        """`machine_types` returns the provider's machine types by name; `send` sends machines the commands due."""
         self.settings = settings
         self.coordinator = coordinator
         self.job_cache = job_cache
@@ -73,47 +74,52 @@
         self.completions = CompletionTracker(
             settings, coordinator, job_cache, machine_registry, job_writer, self.estimates, send, peers_crash_looping
         )
-        self.free_capacity = FreeCapacity(settings, coordinator, job_cache, machine_registry, types, self.estimates)
+        self.free_capacity = FreeCapacity(
+            settings, coordinator, job_cache, machine_registry, machine_types, self.estimates
+        )
         self.pending_jobs = PendingJobs(
-            settings, coordinator, job_cache, machine_registry, types, self.estimates, self.completions
+            settings, coordinator, job_cache, machine_registry, machine_types, self.estimates, self.completions
         )
         self.claim_stagger = ClaimStagger(settings)
         self.allocator = Allocator(settings, coordinator, job_writer, self.completions, self.pending_jobs, send)
         self.quota_releaser = QuotaReleaser(settings, job_cache, quota_rebalancer, self.completions)
         self.preemptor = Preemptor(settings, coordinator, job_cache, machine_registry, self.claim_stagger, send)
-        self.event = threading.Event()
-        self._look_up_finals = look_up_finals
-        self._rest_until = 0.0  # steady time
+        self.wake_event = threading.Event()
+        self._look_up_final_states = look_up_final_states
+        self._planning_paused_until = 0.0  # monotonic time
 
     def start(self) -> None:
-        """Start the thread; it runs as long as the process."""
+        """Start the thread, which runs until the process ends."""
         threading.Thread(target=self._run, name="scheduler", daemon=True).start()
 
     def wake(self) -> None:
-        """Have the next event begin soon."""
-        self.event.set()
+        """Request that the next mapping event start soon."""
+        self.wake_event.set()
 
     def _run(self) -> None:
-        pause = min(LONGEST_PAUSE_S, PAUSE_PER_REPORT * self.settings.report_s)
+        pause = min(MAX_LOOP_PAUSE_S, LOOP_PAUSE_PER_REPORT * self.settings.report_s)
         while True:
-            self.event.wait(2 * pause)
-            self.event.clear()
+            self.wake_event.wait(2 * pause)
+            self.wake_event.clear()
             try:
                 self.mapping_event()
             except (NotExecutedError, OutcomeUnknownError) as error:
-                log.info("mapping event: %s", error)
+                log.info("mapping event aborted: %s", error)
                 time.sleep(pause)
             except Exception:
-                log.exception("mapping event")
+                log.exception("mapping event failed")
                 time.sleep(PAUSE_AFTER_FAILURE_S)
             time.sleep(pause)
 
     def mapping_event(self) -> None:
-        """Run one event: claims before completions, so that free room goes to pending tasks when changes are short.
+        """Run one mapping event.
+
+        Claims precede completions, so that free capacity goes to pending tasks even when few writes are allowed.
 
-        Planning rests for longer the longer it takes, on a large shard or a slow processor. Guards against answers to
-        workers and users that are late for want of processor time. Completions don't rest with it: users expect to
-        hear of them. Raises `NotExecutedError` or `OutcomeUnknownError` if the state service can't be reached.
+        The pause between two runs of planning grows with their duration, as on a large shard or a slow processor.
+        Otherwise planning would use up processor time, and answers to workers and users would be late. Completions are
+        recorded without this pause, since users wait for them. Raises `NotExecutedError` or `OutcomeUnknownError` if
+        the key-value store can't be reached.
         """
         self._resolve_final_records()
         self.completions.collect()
@@ -123,9 +129,9 @@
                 self.quota_rebalancer.establish_quotas()
         try:
             began = time.monotonic()
-            if began >= self._rest_until:
+            if began >= self._planning_paused_until:
                 self.plan()
-                self._rest_until = self._end_of_rest(began, time.monotonic())
+                self._planning_paused_until = self._end_of_planning_pause(began, time.monotonic())
         finally:
             self.completions.record_completions()
 
@@ -137,70 +143,74 @@
         unresolved = self.job_cache.unresolved()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
-                self._look_up_finals(unresolved, "claim")
+                self._look_up_final_states(unresolved, "claim")
 
-    def _end_of_rest(self, began: float, ended: float) -> float:
-        rest = min(REST_PER_EVENT * (ended - began), LONGEST_REST_LEASES * self.settings.lease_s)
-        return ended + rest
+    def _end_of_planning_pause(self, began: float, ended: float) -> float:
+        pause = min(PLANNING_PAUSE_PER_EVENT * (ended - began), MAX_PLANNING_PAUSE_LEASES * self.settings.lease_s)
+        return ended + pause
 
     def plan(self) -> None:
-        """Map pending tasks to machines, claim those that start now, and preempt for services that found no room."""
-        now, clock = time.monotonic(), time.time()
+        """Map pending tasks to machines, claim those that start now, and preempt tasks for services that don't fit."""
+        now, wall_time = time.monotonic(), time.time()
         if not self.coordinator.lease_valid:
             return
         jobs = {job.id: job for job in self.job_cache.live() if job.pending}
-        self._forget_all_but(jobs)
-        # also while none of our machines can be used: quota of a zone that is cut off lies with whoever took its shard
+        self._forget_jobs_not_in(jobs)
+        # even without usable machines: whoever took over an isolated zone's shard also holds that zone's quota
         self.quota_releaser.release_for(jobs.values(), now)
-        relocations = self._relocations(now, clock)
+        relocations = self._relocations(now, wall_time)
         if not jobs and not relocations:
             return
-        machines = self.free_capacity.usable_machines(now, clock)
+        machines = self.free_capacity.usable_machines(now, wall_time)
         if not machines:
             return
-        self._convert_to_time_of_day(machines.values(), now, clock)
+        self._convert_to_wall_time(machines.values(), now, wall_time)
         self.pending_jobs.update_demands()
-        requests = self._requests(jobs.values(), machines.values(), now, clock)
-        placements = self._map(requests, relocations, machines.values(), clock)
+        requests = self._requests(jobs.values(), machines.values(), now, wall_time)
+        placements = self._map(requests, relocations, machines.values(), wall_time)
         self.allocator.allocate(_starts_by_job(placements), machines)
-        self.preemptor.make_room([request for request in requests if request.waiting > 0], machines, now, clock)
+        self.preemptor.preempt_for_services(
+            [request for request in requests if request.waiting > 0], machines, now, wall_time
+        )
 
-    def _forget_all_but(self, pending: dict[str, Job]) -> None:
-        for name in self.claim_stagger.forget_all_but(pending):
-            self.preemptor.forget(name)
-            self.allocator.last_allocation.pop(name, None)
+    def _forget_jobs_not_in(self, pending: dict[str, Job]) -> None:
+        for job_id in self.claim_stagger.forget_jobs_not_in(pending):
+            self.preemptor.forget(job_id)
+            self.allocator.last_allocation.pop(job_id, None)
 
     @staticmethod
-    def _convert_to_time_of_day(machines: Collection[ScheduledMachine], now: float, clock: float) -> None:
-        """Convert timelines from steady time: value functions are of the time of day, and so are the slots."""
+    def _convert_to_wall_time(machines: Collection[ScheduledMachine], now: float, wall_time: float) -> None:
+        """Convert timelines from monotonic to wall-clock time, which value functions and slots use."""
         for candidate, _, _ in machines:
-            candidate.timeline.times = [time_ - now + clock for time_ in candidate.timeline.times]
-            candidate.reclaimed_at += clock - now
+            candidate.timeline.times = [time_ - now + wall_time for time_ in candidate.timeline.times]
+            candidate.reclaimed_at += wall_time - now
 
     def _requests(
-        self, jobs: Iterable[Job], machines: Collection[ScheduledMachine], now: float, clock: float
+        self, jobs: Iterable[Job], machines: Collection[ScheduledMachine], now: float, wall_time: float
     ) -> list[TaskRequest]:
-        """Requests of pending jobs, none of which starts before it is our time to claim it."""
+        """Return the requests of pending jobs, none of which starts before this controller may claim it."""
         candidates_by_image = _candidates_by_image(machines)
         shards = sorted(self.coordinator.table())
-        ours = {shard_of(scheduled.candidate.zone) for scheduled in machines}
+        held_shards = {shard_of(scheduled.candidate.zone) for scheduled in machines}
         held = self.coordinator.held_zones()
         requests = []
         for job in jobs:
-            request = self.pending_jobs.request(job, now, clock, held)
+            request = self.pending_jobs.request(job, now, wall_time, held)
             if request is None:
                 continue
-            image_fetched = _fits_any(request, candidates_by_image.get(job.spec.image, ()))
-            round_ = 0 if image_fetched else 1
-            delay_s = min((self.claim_stagger.delay_s(job, shard, shards, now, round_) for shard in ours), default=0.0)
+            has_image = _fits_any(request, candidates_by_image.get(job.spec.image, ()))
+            claim_round = 0 if has_image else 1
+            delay_s = min(
+                (self.claim_stagger.delay_s(job, shard, shards, now, claim_round) for shard in held_shards), default=0.0
+            )
             delay_s = self._with_claim_pause(job, delay_s, now)
             if delay_s > 0:
-                request.not_before = max(request.not_before, clock + delay_s)
+                request.not_before = max(request.not_before, wall_time + delay_s)
             requests.append(request)
         return requests
 
     def _with_claim_pause(self, job: Job, delay_s: float, now: float) -> float:
-        """The delay, or the rest of the pause between two claims of an array if that is longer."""
+        """Return the delay, or the remaining pause between two claims of an array if that is longer."""
         last = self.allocator.last_allocation.get(job.id)
         if job.spec.kind != "array" or last is None:
             return delay_s
@@ -211,36 +221,36 @@
         requests: list[TaskRequest],
         relocations: list[TaskRequest],
         machines: Collection[ScheduledMachine],
-        clock: float,
+        wall_time: float,
     ) -> list[Placement]:
         longest = max((request.estimate for request in requests), default=0.0)
         return map_tasks(
             requests + relocations,
             [scheduled.candidate for scheduled in machines],
-            clock,
+            wall_time,
             self.settings.knobs.horizon * longest,
             self.pending_jobs.unmet_guarantees({request.spec.team for request in requests}),
         )
 
-    def _relocations(self, now: float, clock: float) -> list[TaskRequest]:
-        """Requests for replicas that will have to leave lost zones, for which it falls to our shards to hold room.
+    def _relocations(self, now: float, wall_time: float) -> list[TaskRequest]:
+        """Return the requests for replicas to be relocated from lost zones for which the held shards reserve capacity.
 
-        Guards against services that are missed all at once when a cut lasts: they leave one by one, to room that is
-        ready.
+        With capacity reserved, replicas move one by one if a network partition lasts, instead of a service losing all
+        of them at once.
         """
-        lost = self.coordinator.unreachable_zones()
-        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost)
-        if not lost or not shards:
+        lost_zones = self.coordinator.unreachable_zones()
+        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost_zones)
+        if not lost_zones or not shards:
             return []
-        ours = {grant.shard for grant in self.coordinator.grants()}
+        held_shards = {grant.shard for grant in self.coordinator.grants()}
         requests = []
         for job in self.job_cache.live():
             if job.spec.kind != "service":
                 continue
             order = shard_order(job.id, shards)
-            numbers = [order.index(shard) for shard in shards if shard in ours]
-            our_share = partial(share_of_tasks, shard_positions=numbers, shard_count=len(shards))
-            request = self.pending_jobs.relocation_request(job, lost, our_share, now, clock)
+            positions = [order.index(shard) for shard in shards if shard in held_shards]
+            held_share = partial(share_of_tasks, shard_positions=positions, shard_count=len(shards))
+            request = self.pending_jobs.relocation_request(job, lost_zones, held_share, now, wall_time)
             if request is not None:
                 requests.append(request)
         return requests
@@ -255,13 +265,13 @@
 
 
 def _fits_any(request: TaskRequest, candidates: Iterable[CandidateMachine]) -> bool:
-    """Whether a task of the request could start on one of these machines now."""
+    """Return whether a task of the request could start on one of these machines now."""
     need = need_of(request.spec)
     return any(fits(candidate.timeline.free[0], need) and allowed_on(request, candidate) for candidate in candidates)
 
 
 def _starts_by_job(placements: list[Placement]) -> dict[str, list[Placement]]:
-    """The placements that start now, by job; place-holders lapse with the event."""
+    """Return the placements that start now, by job; place-holders lapse with the event."""
     starts: dict[str, list[Placement]] = {}
     for placement in placements:
         if placement.starts_now:
