--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -14,7 +14,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.records.completion_tracker import CompletionTracker
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
@@ -71,7 +71,7 @@
 
     def update_demands(self) -> None:
         """Recompute the demands of pipelines' jobs, including those of dependents submitted later."""
-        dependents_by_job = self.job_cache.dependents()
+        dependents_by_job = self.job_cache.dependents_by_job()
         own: dict[str, Demand] = {}
         durations: dict[str, float] = {}
         for job_id in {
@@ -115,7 +115,7 @@
             value=value,
             estimate=estimate,
             waiting=waiting,
-            tasks_by_zone=job.per_zone(),
+            tasks_by_zone=job.allocated_by_zone(),
             headroom=self._headroom(spec, waiting, used, zones),
             reserved_since=None if spec.kind == "service" else self._reserved_since(job, value, wall_time),
             not_before=self._backed_off_until(job, now, wall_time),
@@ -131,7 +131,7 @@
         Their `not_before` is the time at which the jobs are expected to be ready.
         """
         requests = []
-        dependents_by_job = self.job_cache.dependents()
+        dependents_by_job = self.job_cache.dependents_by_job()
         for job_id in {dependent for dependents in dependents_by_job.values() for dependent in dependents}:
             job = self.job_cache.get(job_id)
             if job is None or not job.blocked or job.cancelled:
@@ -200,7 +200,7 @@
             machine = self.machine_registry.machines.get(allocation.machine)
             if machine is None or machine.session != allocation.session:
                 return False
-            for index in members(allocation.tasks):
+            for index in set_bits(allocation.tasks):
                 task = machine.tasks.get((job.id, index, allocation.attempt))
                 if task is not None and task.state not in ("fetching", "waiting"):
                     return False
@@ -210,7 +210,7 @@
         """Return the seconds until a blocked job's dependencies are expected to be done; None if one isn't running."""
         ready_in = 0.0
         for job_id in job.dependencies:
-            if job_id not in dependents_by_job or self.job_cache.final(job_id) is not None:
+            if job_id not in dependents_by_job or self.job_cache.final_state(job_id) is not None:
                 continue
             dependency = self.job_cache.get(job_id)
             if dependency is None or dependency.pending or not dependency.allocations:
@@ -269,7 +269,7 @@
         """Return machines that know the attempt of a gang's missing tasks, and so wouldn't start a replacement."""
         if job.spec.kind != "gang" or not job.allocations:
             return frozenset()
-        keys = {(job.id, index, job.allocations[0].attempt) for index in members(job.pending)}
+        keys = {(job.id, index, job.allocations[0].attempt) for index in set_bits(job.pending)}
         with self.machine_registry.lock:
             return frozenset(
                 name for name, machine in self.machine_registry.machines.items() if keys & machine.tasks.keys()
@@ -284,7 +284,7 @@
         be placed last.
         """
         reserved_from = job.startable_since + self.reserved_after_s
-        if not job.started and wall_time > reserved_from:
+        if not job.last_attempt and wall_time > reserved_from:
             return min(reserved_from, value.soft_deadline)
         return value.soft_deadline if is_reserved(value, wall_time) else None
 
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -13,7 +13,7 @@
 from tidebend.cluster_state.keys import TaskKey
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.scheduler.free_capacity import ScheduledMachine
 from tidebend.controller.scheduler.staggered_claims import ClaimStagger, shard_order
 from tidebend.coordination import Coordinator, shard_of
@@ -99,7 +99,7 @@
         self, requests: list[TaskRequest], machines: dict[str, ScheduledMachine], now: float, wall_time: float
     ) -> None:
         """Preempt lower-priority tasks for waiting services that fit on no machine now."""
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         held_shards = {shard_of(scheduled.candidate.zone) for scheduled in machines.values()}
         with_victims: list[MachineWithVictims] | None = None
         for request in requests:
@@ -165,9 +165,9 @@
         """Return a machine's free capacity and its preemptible tasks, those with the least loss first."""
         free = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         victims = []
-        for job, allocation in self.job_cache.on_machine(machine.name):
+        for job, allocation in self.job_cache.allocations_on(machine.name):
             need = need_of(job.spec)
-            for index in members(allocation.tasks):
+            for index in set_bits(allocation.tasks):
                 free = subtract(free, need)
                 if _is_preemptible(job.spec):
                     victims.append(_victim(machine, job, allocation, index, now))
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -140,7 +140,7 @@
             self.cancellation_sealer.seal_all()
 
     def _resolve_final_records(self) -> None:
-        unresolved = self.job_cache.unresolved()
+        unresolved = self.job_cache.missing_final_states()
         if unresolved:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
                 self._look_up_final_states(unresolved, "claim")
@@ -154,7 +154,7 @@
         now, wall_time = time.monotonic(), time.time()
         if not self.coordinator.lease_valid:
             return
-        jobs = {job.id: job for job in self.job_cache.live() if job.pending}
+        jobs = {job.id: job for job in self.job_cache.live_jobs() if job.pending}
         self._forget_jobs_not_in(jobs)
         # even without usable machines: whoever took over an isolated zone's shard also holds that zone's quota
         self.quota_releaser.release_for(jobs.values(), now)
@@ -190,7 +190,7 @@
     ) -> list[TaskRequest]:
         """Return the requests of pending jobs, none of which starts before this controller may claim it."""
         candidates_by_image = _candidates_by_image(machines)
-        shards = sorted(self.coordinator.table())
+        shards = sorted(self.coordinator.holders())
         held_shards = {shard_of(scheduled.candidate.zone) for scheduled in machines}
         held = self.coordinator.held_zones()
         requests = []
@@ -239,12 +239,12 @@
         of them at once.
         """
         lost_zones = self.coordinator.unreachable_zones()
-        shards = sorted(shard for shard in self.coordinator.table() if zone_of(shard) not in lost_zones)
+        shards = sorted(shard for shard in self.coordinator.holders() if zone_of(shard) not in lost_zones)
         if not lost_zones or not shards:
             return []
         held_shards = {grant.shard for grant in self.coordinator.grants()}
         requests = []
-        for job in self.job_cache.live():
+        for job in self.job_cache.live_jobs():
             if job.spec.kind != "service":
                 continue
             order = shard_order(job.id, shards)
