--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -72,14 +72,14 @@
         conditions = dict(self.coordinator.condition(machines[placement.machine].grant) for placement in job_placements)
         if unrecorded is not None:
             conditions.update(self.completions.conditions(unrecorded))
-        make = partial(
+        add_claims = partial(
             self._with_claims,
             job_placements=job_placements,
             machines=machines,
             allocated_at=allocated_at,
             unrecorded=unrecorded,
         )
-        return JobEdit(job_id, make, conditions)
+        return JobEdit(job_id, add_claims, conditions)
 
     def _note_claim(self, job: Job, job_placements: list[Placement], now: float) -> None:
         if job.allocated_count >= sum(placement.tasks for placement in job_placements):
--- a/tidebend/controller/scheduler/free_capacity.py
+++ b/tidebend/controller/scheduler/free_capacity.py
@@ -65,7 +65,7 @@
     def usable_machines(self, now: float, wall_time: float) -> dict[str, ScheduledMachine]:
         """Return the machines on which tasks may be placed, by name.
 
-        `now` is monotonic time, as are the times of their timelines.
+        `now` is monotonic time, as are the times of their timelines; `wall_time` is wall-clock time.
         """
         machine_types = self.machine_types()
         usable = {}
--- a/tidebend/controller/scheduler/preemption.py
+++ b/tidebend/controller/scheduler/preemption.py
@@ -35,7 +35,7 @@
 # grace period of a task with checkpoints, as a multiple of the time to save one
 GRACE_PER_SAVE = 1.5
 # after a preemption for a job, there is no other for it for this many report intervals
-REPORTS_TO_STOP = 2.0
+PREEMPTION_PAUSE_REPORTS = 2.0
 
 
 class Victim(NamedTuple):
@@ -119,7 +119,7 @@
         removed from the list.
         """
         plans = self._preemption_plans(request, priority, machines)
-        zone_headroom = {row.candidate.zone: request.zone_headroom(row.candidate.zone) for row in machines}
+        zone_headroom = {entry.candidate.zone: request.zone_headroom(entry.candidate.zone) for entry in machines}
         used: set[int] = set()
         for plan in sorted(plans):
             candidate, machine, *_ = machines[plan.machine_index]
@@ -132,8 +132,8 @@
             self._stop(machine, plan, request)
         if used:
             self.send({machines[index].machine.name for index in used})
-            self._stopping_until[request.job_id] = now + REPORTS_TO_STOP * self.settings.report_s
-            machines[:] = [row for index, row in enumerate(machines) if index not in used]
+            self._stopping_until[request.job_id] = now + PREEMPTION_PAUSE_REPORTS * self.settings.report_s
+            machines[:] = [entry for index, entry in enumerate(machines) if index not in used]
 
     def _is_due(self, request: TaskRequest, shards: list[str], held_shards: set[str], now: float) -> bool:
         """Return whether this controller should preempt tasks for a request now.
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -121,7 +121,7 @@
         recorded without this pause, since users wait for them. Raises `NotExecutedError` or `OutcomeUnknownError` if
         the key-value store can't be reached.
         """
-        self._resolve_final_records()
+        self._resolve_missing_final_states()
         self.completions.collect()
         self._seal_cancellations()
         if self.coordinator.term is not None:
@@ -139,11 +139,11 @@
         with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
             self.cancellation_sealer.seal_all()
 
-    def _resolve_final_records(self) -> None:
-        unresolved = self.job_cache.missing_final_states()
-        if unresolved:
+    def _resolve_missing_final_states(self) -> None:
+        missing = self.job_cache.missing_final_states()
+        if missing:
             with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
-                self._look_up_final_states(unresolved, "claim")
+                self._look_up_final_states(missing, "claim")
 
     def _end_of_planning_pause(self, began: float, ended: float) -> float:
         pause = min(PLANNING_PAUSE_PER_EVENT * (ended - began), MAX_PLANNING_PAUSE_LEASES * self.settings.lease_s)
@@ -192,10 +192,10 @@
         candidates_by_image = _candidates_by_image(machines)
         shards = sorted(self.coordinator.holders())
         held_shards = {shard_of(scheduled.candidate.zone) for scheduled in machines}
-        held = self.coordinator.held_zones()
+        held_zones = self.coordinator.held_zones()
         requests = []
         for job in jobs:
-            request = self.pending_jobs.request(job, now, wall_time, held)
+            request = self.pending_jobs.request(job, now, wall_time, held_zones)
             if request is None:
                 continue
             has_image = _fits_any(request, candidates_by_image.get(job.spec.image, ()))
--- a/tidebend/controller/scheduler/staggered_claims.py
+++ b/tidebend/controller/scheduler/staggered_claims.py
@@ -10,7 +10,7 @@
 from tidebend.settings import Settings
 
 # interval between the claims of two shards, as a share of the workers' report interval
-INTERVAL_PER_REPORT = 0.1
+CLAIM_INTERVAL_PER_REPORT = 0.1
 
 
 class _PendingState(NamedTuple):
@@ -30,7 +30,7 @@
 
     def __init__(self, settings: Settings) -> None:
         """Start without pending jobs."""
-        self.interval_s = INTERVAL_PER_REPORT * settings.report_s
+        self.interval_s = CLAIM_INTERVAL_PER_REPORT * settings.report_s
         self._since: dict[str, _PendingState] = {}
 
     def forget_jobs_not_in(self, pending: Container[str]) -> list[str]:
--- a/tidebend/settings/platform_file.py
+++ b/tidebend/settings/platform_file.py
@@ -59,7 +59,7 @@
         max_clock_offset_s=deployment.number("clock_off_ms", default=0.0) / MS_PER_S,
         teams=teams,
         start_objectives=objectives.start,
-        deadline_objectives=objectives.late,
+        deadline_objectives=objectives.deadline,
         report_s=workers.number("report_s", MIN_INTERVAL_S),
         lease_s=workers.number("lease_s", MIN_INTERVAL_S),
         gang_wait_s=workers.number("gang_wait_s"),
@@ -126,7 +126,7 @@
     """Service-level objectives by job class; see `start_objectives` and `deadline_objectives` of `Settings`."""
 
     start: dict[str, float] = field(default_factory=dict)
-    late: dict[str, float] = field(default_factory=dict)
+    deadline: dict[str, float] = field(default_factory=dict)
 
 
 def _objectives(deployment: TableReader) -> _Objectives:
@@ -138,7 +138,7 @@
         if row.equals("kind", "wait"):
             objectives.start[row.string("class")] = row.number("within_s")
         elif row.equals("kind", "deadline"):
-            times = row.number("times", default=1.0)
+            factor = row.number("times", default=1.0)
             job_class = row.string("class")
-            objectives.late[job_class] = max(objectives.late.get(job_class, 1.0), times)
+            objectives.deadline[job_class] = max(objectives.deadline.get(job_class, 1.0), factor)
     return objectives
