--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -1,4 +1,4 @@
-"""Limits and guarantees between holders: shares that move, ends that make room, room that is owed."""
+"""Limits and guarantees of teams across shard holders: zone quotas, resources freed by ended tasks, guarantees."""
 
 from dataclasses import replace
 
@@ -25,11 +25,11 @@
     yield from begun()
 
 
-def ending(tasks):
+def ending_edit(tasks):
     return lambda job, _: job.without_tasks({("vm-north", 1, 1): tasks}, tasks)
 
 
-def claiming(controller, tasks):
+def allocating_edit(controller, tasks):
     limit = controller.settings.teams["team"]
 
     def edit(job, usage):
@@ -43,20 +43,22 @@
 def test_what_has_ended_makes_room_for_a_claim_in_its_own_transaction_and_never_for_one_without_it(world):
     first, _ = shared(world)
     held = dict([first.coordinator.condition(first.coordinator.grant("north.0"))])
-    assert claim_in(first, "north", "a", 0b11111111) is not None  # all of the limit
-    assert first.job_writer.change_all([JobEdit("b", claiming(first, 0b11), held)]) == {}
-    # the ends' own condition fails: nobody may use what they would have freed
-    lost = JobEdit("a", ending(0b11), {"tidebend/live/block/north.0": 1})
-    assert first.job_writer.change_all([lost, JobEdit("b", claiming(first, 0b11), held)]) == {}
+    assert claim_in(first, "north", "a", 0b11111111) is not None  # uses the whole limit
+    assert first.job_writer.change_all([JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
+    # the condition of the ending edit fails: nothing may use the resources that it would have freed
+    lost = JobEdit("a", ending_edit(0b11), {"tidebend/live/block/north.0": 1})
+    assert first.job_writer.change_all([lost, JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
     before = world.state.revision
-    made = first.job_writer.change_all([JobEdit("a", ending(0b11), held), JobEdit("b", claiming(first, 0b11), held)])
+    made = first.job_writer.change_all(
+        [JobEdit("a", ending_edit(0b11), held), JobEdit("b", allocating_edit(first, 0b11), held)]
+    )
     assert sorted(made) == ["a", "b"]
     assert world.state.revision == before + 1
     assert first.job_cache.used("team") == (8.0, 0.0)
 
 
 def test_a_holder_without_a_machine_that_it_can_use_gives_shares_back(world):
-    """A zone was cut off: whoever took its block hears nobody there, and the team waits elsewhere for the share."""
+    """Guards against quota blocked in a zone that is cut off: its new shard holder reaches no machine there."""
     first, second = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
     second.cache.catch_up(0.0, "claim")
@@ -77,7 +79,7 @@
 
 
 def test_shares_given_back_without_an_answer_are_not_lowered_under_a_later_claim(world):
-    """Found by the model: a claim within a share only compares it, so that the late change would still be executed."""
+    """A claim within its quota only compares the record, so that a late write of lower quotas would still succeed."""
     first, _ = shared(world)
     assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
@@ -88,27 +90,27 @@
 
 
 @pytest.fixture
-def boundless():
+def unlimited():
     yield from begun([{**TEAMS[0], "cpus_max": 0.0}])
 
 
-def test_claims_of_a_team_without_a_limit_do_not_collide(boundless):
-    """A guest's 25,000 small tasks: each claim wrote the team's record, and a third of them met another holder's."""
-    first, second = shared(boundless)
-    before = boundless.state.counts["conflicts"]
+def test_claims_of_a_team_without_a_limit_do_not_collide(unlimited):
+    """With 25,000 small tasks of one team, each claim wrote the team's record, and a third of the claims conflicted."""
+    first, second = shared(unlimited)
+    before = unlimited.state.counts["conflicts"]
     for tasks in (0b1, 0b10, 0b11111100):
         assert claim_in(first, "north", "a", tasks) is not None
         assert claim_in(second, "south", "b", tasks) is not None
-    assert boundless.state.counts["conflicts"] == before
+    assert unlimited.state.counts["conflicts"] == before
 
 
-def test_a_limit_that_a_team_has_not_had_before_counts_what_it_uses_elsewhere(boundless):
-    first, second = shared(boundless)
+def test_a_limit_that_a_team_has_not_had_before_counts_what_it_uses_elsewhere(unlimited):
+    first, second = shared(unlimited)
     assert claim_in(first, "north", "a", 0b111111) is not None
     for controller in (first, second):
         controller.settings.teams["team"] = replace(controller.settings.teams["team"], cpus_max=8.0)
         controller.cache.catch_up(0.0, "claim")
-    first.quota_rebalancer.establish_quotas()  # the leader's
+    first.quota_rebalancer.establish_quotas()  # as the leader does
     assert claim_in(second, "south", "b", 0b111) is None
     assert claim_in(second, "south", "b", 0b11) is not None
 
@@ -118,7 +120,7 @@
     quota_releaser, job = first.scheduling_loop.quota_releaser, first.job_cache.get("g")
     shares = first.job_cache.team("team").zone_quotas
     assert shares is not None
-    value = {"north": [1.0, 0.0], "south": [2.0, 0.0]}  # five are free, and the gang takes six
+    value = {"north": [1.0, 0.0], "south": [2.0, 0.0]}  # five CPUs are free, and the gang takes six
     world.state.transact({"if": [], "writes": [{"put": "tidebend/live/quota/team", "v": value}]})
     first.cache.catch_up(0.0, "claim")
     assert quota_releaser._teams_short_of_quota([job]) == {"team"}
@@ -133,13 +135,13 @@
 
 
 def test_room_goes_to_what_is_owed_before_a_borrowers_standing_reservations():
-    """The borrower has waited for longest; the small team is owed four tasks of eight."""
-    places = [make_machine(f"m{number}") for number in range(3)]  # two tasks fit on each
+    """The borrower has waited longest; the guarantee of the small team still covers four of its eight tasks."""
+    machines = [make_machine(f"m{number}") for number in range(3)]  # two tasks fit on each
     greedy = make_request("greedy", team="greedy", tasks=10)
     greedy.reserved_since = greedy.value.soft_deadline
     small = make_request("small", team="small", tasks=8)
     owed = {"small": GuaranteeBalance(16.0, 0.0), "greedy": GuaranteeBalance(-100.0, 0.0)}
-    placements = map_tasks([greedy, small], places, 0.0, 60.0, owed)
+    placements = map_tasks([greedy, small], machines, 0.0, 60.0, owed)
     assert (started(placements, "small"), started(placements, "greedy")) == (4, 2)
     assert owed["small"].cpus == 0.0
 
@@ -148,19 +150,19 @@
     greedy = make_request("greedy", team="greedy", tasks=6)
     greedy.reserved_since = greedy.value.soft_deadline
     gang = make_request("gang", team="small", kind="gang", tasks=3)
-    places = [make_machine(f"m{number}") for number in range(2)]
-    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 0
+    machines = [make_machine(f"m{number}") for number in range(2)]
+    assert started(map_tasks([greedy, gang], machines, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 0
     greedy = make_request("greedy", team="greedy", tasks=6)
     greedy.reserved_since = greedy.value.soft_deadline
     gang = make_request("gang", team="small", kind="gang", tasks=3)
-    places = [make_machine(f"m{number}") for number in range(2)]
-    assert started(map_tasks([greedy, gang], places, 0.0, 60.0, {"small": GuaranteeBalance(12.0, 0.0)}), "gang") == 3
+    machines = [make_machine(f"m{number}") for number in range(2)]
+    assert started(map_tasks([greedy, gang], machines, 0.0, 60.0, {"small": GuaranteeBalance(12.0, 0.0)}), "gang") == 3
 
 
 def test_a_gang_that_is_owed_in_part_only_is_placed_like_what_is_borrowed():
     gang = make_request("gang", team="small", kind="gang", tasks=3)
-    places = [make_machine(f"m{number}") for number in range(2)]
-    assert started(map_tasks([gang], places, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 3
+    machines = [make_machine(f"m{number}") for number in range(2)]
+    assert started(map_tasks([gang], machines, 0.0, 60.0, {"small": GuaranteeBalance(8.0, 0.0)}), "gang") == 3
 
 
 def test_borrowed_work_of_a_higher_priority_takes_part_in_the_pick_on_equal_terms():
--- a/tidebend/controller/quota/__init__.py
+++ b/tidebend/controller/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Moves of teams' quota among zones."""
+"""Rebalancing of teams' quotas among zones."""
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -1,4 +1,4 @@
-"""Moves a team's limit among zones: quotas are raised by allocations and lowered by the holders of zones' shards.
+"""Rebalances a team's zone quotas: allocations raise them, and the holders of the zones' shards lower them.
 
 A team's limit is divided into one quota per zone, all in one record, as with escrow locking: the holder of a zone's
 shard may allocate within the zone's quota without regard to other zones. Together the quotas never exceed the limit.
@@ -16,35 +16,35 @@
 from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError, WatchCache
 from tidebend.protocol import Write
 from tidebend.quota import (
-    EXHAUSTED,
+    EXHAUSTED_CHARGE,
     QUOTA_PREFIX,
     TEAM_PREFIX,
     QuotaAmountLike,
     ZoneQuotas,
     fits_within,
-    lower_shares,
-    raise_shares,
+    lower_quotas,
+    raise_quotas,
 )
 from tidebend.settings import Settings, Team
 
 log = logging.getLogger("quota")
 
-NOTHING: QuotaAmountLike = (0.0, 0.0)
+ZERO_AMOUNT: QuotaAmountLike = (0.0, 0.0)
 
-# zone -> the condition (key and version) that its shard is still ours
+# zone -> the condition (key and version) that this controller still holds the zone's shard
 HeldZones = dict[str, tuple[str, int]]
 
 
 @dataclass(frozen=True)
 class QuotaChange:
-    """What a transaction has to contain so that its allocations keep the team's limit."""
+    """The conditions and writes by which a transaction keeps its allocations within the team's limit."""
 
     conditions: dict[str, int] = field(default_factory=dict)
     writes: list[Write] = field(default_factory=list)
 
 
 class QuotaRebalancer:
-    """Raises, releases and creates zone quotas, under conditions that make each change safe against all others."""
+    """Creates, raises and releases zone quotas, under conditions that make concurrent changes safe."""
 
     def __init__(
         self,
@@ -54,13 +54,13 @@
         schema_version: SchemaVersion,
         held_zones: Callable[[], HeldZones],
     ) -> None:
-        """`held_zones` returns the zones whose shards are ours."""
+        """`held_zones` returns the zones whose shards this controller holds."""
         self.settings = settings
         self.cache = cache
         self.job_cache = job_cache
         self.schema_version = schema_version
         self.held_zones = held_zones
-        # team with writes that may still be executed -> an object that stands for the last of them
+        # team with writes of unknown outcome -> an object that identifies the last of them
         self._uncertain_teams: dict[str, object] = {}
 
     def change_for_allocation(
@@ -73,10 +73,11 @@
         added: dict[str, QuotaAmountLike],
         held_zones: HeldZones,
     ) -> QuotaChange | None:
-        """Return what allocations need so that they keep the team's limit; None if they would exceed it.
+        """Return what keeps allocations within the team's limit; None if they would exceed it.
 
-        `added` is what they take in each zone, `already_added` what the transaction takes by team and zone without
-        them, less what it ends; `already_written` is the transaction's write of these quotas, if it has one.
+        `added` is the resources of the allocations by zone. `already_added` is those of the transaction's other
+        allocations by team and zone, less those of the tasks that it ends. `already_written` is the transaction's
+        write of these quotas, if it has one.
         """
         limit = self.settings.teams.get(team)
         grown_zones = [zone for zone, (cpus, gpus) in added.items() if cpus > 0 or gpus > 0]
@@ -87,9 +88,9 @@
         needs = {}
         for zone in {*grown_zones, *held_zones}:
             used: QuotaAmountLike = self.job_cache.used(team, (zone,))
-            used = _plus(used, already_added.get((team, zone), NOTHING))
-            needs[zone] = _plus(used, added.get(zone, NOTHING))
-        sufficient = raise_shares(by_zone, needs, grown_zones, limit, len(self.settings.zones))
+            used = _plus(used, already_added.get((team, zone), ZERO_AMOUNT))
+            needs[zone] = _plus(used, added.get(zone, ZERO_AMOUNT))
+        sufficient = raise_quotas(by_zone, needs, grown_zones, limit, len(self.settings.zones))
         if sufficient is None:
             return None
         if sufficient is by_zone:
@@ -98,15 +99,15 @@
         return QuotaChange(conditions, [(QUOTA_PREFIX + team, ZoneQuotas(0, sufficient).pack(), None)])
 
     def mark_uncertain(self, teams: set[str]) -> None:
-        """Note that writes of these teams' allocations or quotas got no answer, and may still be executed."""
+        """Record that the outcome of writes of these teams' allocations or quotas is unknown."""
         self._uncertain_teams.update((team, object()) for team in teams)
 
     def settle_uncertain_writes(self, patience: float) -> None:
-        """Make sure that no write without an answer can be executed any more, and learn which have been.
+        """Make sure that no write of unknown outcome can still be executed, and read which ones were.
 
-        An allocation that is executed late is bounded only by its zone's quota, and a quota may be lowered late below
-        an allocation made meanwhile. Both are conditional on the quotas' version, so writing the quotas anew, with
-        the same values, rules them out. Raises `NotExecutedError` if what happened before can't be read.
+        A late allocation is bounded by its zone's quota alone, and a late write may lower a quota below an allocation
+        made meanwhile. Both are conditional on the version of the quotas, so writing the quotas again with the same
+        values makes them fail. Raises `NotExecutedError` if the read barrier fails.
         """
         if not self._uncertain_teams:
             return
@@ -114,7 +115,7 @@
         for team in sorted(uncertain):
             quotas = self.job_cache.team(team).zone_quotas
             if quotas:
-                # a conflict means that the quotas have been written since, which serves as well
+                # a conflict means that the quotas have been written since, which makes the earlier writes fail as well
                 with contextlib.suppress(ConflictError):
                     self.cache.write(
                         {QUOTA_PREFIX + team: quotas.version},
@@ -122,16 +123,16 @@
                         patience=patience,
                     )
         if not self.cache.barrier(self.cache.state.timeout, "claim"):
-            raise NotExecutedError("no read after a claim without an answer")
+            raise NotExecutedError("read barrier failed after a claim with unknown outcome")
         for team, last_write in uncertain.items():
-            if self._uncertain_teams.get(team) is last_write:  # otherwise there has been another one meanwhile
+            if self._uncertain_teams.get(team) is last_write:  # otherwise another write was recorded meanwhile
                 del self._uncertain_teams[team]
 
     def establish_quotas(self) -> None:
-        """Replace the common records of teams by zone quotas, at what they use, once all controllers can read them.
+        """Replace the teams' records by zone quotas equal to their usage, once all controllers can read these.
 
-        Teams without a limit get them too: their allocations are then conditional on a record that never changes,
-        while holders would collide over the common record of a team with many small jobs without any need.
+        Teams without a limit get zone quotas too: their allocations are then conditional on a record that never
+        changes, while on the common record of a team with many small jobs, holders would conflict needlessly.
         Raises `ConflictError` and the other errors of `WatchCache.write`.
         """
         if not self.schema_version.pipelines:
@@ -151,36 +152,36 @@
                     FORMAT: self.cache.get(FORMAT)[1],
                 },
                 [
-                    (TEAM_PREFIX + team.name, EXHAUSTED, None),
+                    (TEAM_PREFIX + team.name, EXHAUSTED_CHARGE, None),
                     (QUOTA_PREFIX + team.name, ZoneQuotas(0, used).pack(), None),
                 ],
             )
-            log.info("team %s has shares of its limit in each zone from now on", team.name)
+            log.info("team %s: limit is now divided into zone quotas", team.name)
 
     def _raise_to_usage(self, limit: Team) -> None:
-        """Raise the quotas to what is used, which exceeds them only where allocations were made under another limit.
+        """Raise quotas that are below the usage; only allocations made under another limit can have exceeded them.
 
-        A team that had no limit before has quotas below its usage: other zones' usage would be counted too low.
+        A team that had no limit before has quotas below its usage: the usage of other zones would be underestimated.
         """
         with self.job_cache.lock:
             quotas = self.job_cache.team(limit.name).zone_quotas
             used = self._used_by_zone(limit.name)
         if quotas is None or all(
-            fits_within(amounts, quotas.zones.get(zone, NOTHING), limit) for zone, amounts in used.items()
+            fits_within(amounts, quotas.zones.get(zone, ZERO_AMOUNT), limit) for zone, amounts in used.items()
         ):
             return
         sufficient = {
-            zone: _larger(quotas.zones.get(zone, NOTHING), used.get(zone, NOTHING))
+            zone: _larger(quotas.zones.get(zone, ZERO_AMOUNT), used.get(zone, ZERO_AMOUNT))
             for zone in quotas.zones.keys() | used.keys()
         }
         self.cache.write(
             {QUOTA_PREFIX + limit.name: quotas.version},
             [(QUOTA_PREFIX + limit.name, ZoneQuotas(0, sufficient).pack(), None)],
         )
-        log.info("team %s uses more than its shares: they are raised to it", limit.name)
+        log.info("team %s: usage exceeds zone quotas; raised them to the usage", limit.name)
 
     def release_unused(self, team: str) -> bool:
-        """Lower a team's quotas in our zones to what is used there; True if that gave other zones more room.
+        """Lower a team's quotas in the zones held here to the usage there; True if that freed quota for other zones.
 
         Raises `ConflictError` and the other errors of `WatchCache.write`.
         """
@@ -188,7 +189,7 @@
         quotas = self.job_cache.team(team).zone_quotas
         if quotas is None or team in self._uncertain_teams:
             return False
-        lower = lower_shares(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
+        lower = lower_quotas(quotas, {zone: self.job_cache.used(team, (zone,)) for zone in held_zones})
         if lower is None:
             return False
         try:
@@ -197,8 +198,8 @@
                 [(QUOTA_PREFIX + team, lower.pack(), None)],
             )
         except OutcomeUnknownError:
-            # An allocation within the quota that we know doesn't write the quotas, so this write could be executed
-            # after it, and other zones would use what the allocation uses: the limit would be exceeded.
+            # An allocation within the quota as cached here doesn't write the quotas, so this write could be executed
+            # after it and free the same resources for other zones: the limit would be exceeded.
             self.mark_uncertain({team})
             raise
         return True
@@ -208,7 +209,7 @@
 
 
 def _unpack_written(write: Write) -> dict[str, QuotaAmountLike]:
-    """Return the quotas by zone of a write of them."""
+    """Return the quotas by zone that a write contains."""
     return {zone: (amounts[0], amounts[1]) for zone, amounts in write[1].items()}
 
 
--- a/tidebend/controller/quota/quota_release.py
+++ b/tidebend/controller/quota/quota_release.py
@@ -1,4 +1,4 @@
-"""Releases unused zone quotas when a team's waiting jobs need more of the limit than is free."""
+"""Releases unused zone quotas when a team's waiting jobs need more than the free part of its limit."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
 
 
 class QuotaReleaser:
-    """Decides when our zones' unused quotas are released.
+    """Decides when the unused quotas of the zones held here are released.
 
-    No requests are sent between controllers: each holder of shards sees from the same records which jobs wait, what of
-    the limit is free, and which of its own quotas it doesn't use. A zone's quota can be released by whoever holds the
-    zone's shard, so the quota of a controller that is down or cut off is tied up only until the shard's next holder.
+    Controllers send each other no requests for this: each shard holder sees from the same records which jobs wait, how
+    much of the limit is free, and how much of its own quotas is unused. Whoever holds a zone's shard can release the
+    zone's quota, so the quota of a controller that is down or cut off is blocked only until the shard has another
+    holder.
     """
 
     def __init__(
         self, settings: Settings, job_cache: JobCache, quota_rebalancer: QuotaRebalancer, completions: CompletionTracker
     ) -> None:
-        """Release by `quota_rebalancer`, after the pause that `completions` keeps between allocations."""
+        """Quotas are released by `quota_rebalancer`, after the pause that `completions` keeps between allocations."""
         self._settings = settings
         self._job_cache = job_cache
         self._quota_rebalancer = quota_rebalancer
-        # our own jobs may use the quota first: their ended tasks make room for the team's next ones
+        # jobs in the zones held here may use the quota first: their ended tasks free quota for the team's next tasks
         self._delay_s = completions.allocation_pause_s
-        self._short_since: dict[str, float] = {}  # team -> steady time since which too little of its limit is free
+        self._short_since: dict[str, float] = {}  # team -> monotonic time since which too little of its limit is free
 
     def release_for(self, waiting: Iterable[Job], now: float) -> None:
         """Release the quotas of teams whose waiting jobs have been short of quota for long enough.
 
-        Raises the errors of `WatchCache.write` but for conflicts.
+        Raises the errors of `WatchCache.write` except `ConflictError`.
         """
         short = self._teams_short_of_quota(waiting)
         self._short_since = {team: self._short_since.get(team, now) for team in short}
@@ -47,7 +48,7 @@
                     self._quota_rebalancer.release_unused(team)
 
     def _teams_short_of_quota(self, waiting: Iterable[Job]) -> set[str]:
-        """Return the teams with a job that can't start another task, or can't start at all, with what is free."""
+        """Return the teams with a job for whose next task, or whole gang, too little of the limit is free."""
         totals: dict[str, QuotaAmountLike | None] = {}
         short = set()
         for job in waiting:
@@ -59,7 +60,8 @@
                 quotas = self._job_cache.team(spec.team).zone_quotas
                 totals[spec.team] = quotas.total() if quotas else None
             total = totals[spec.team]
-            # a gang needs room for all its tasks: it would wait for ever beside an amount that one of them fits into
+            # A gang needs quota for all its tasks: checked for a single task, it would wait forever beside free quota
+            # that is enough for one.
             tasks = job.pending.bit_count() if spec.kind == "gang" else 1
             if total is not None and not limit.allows(total[0] + spec.cpus * tasks, total[1] + spec.gpus * tasks):
                 short.add(spec.team)
--- a/tidebend/quota/__init__.py
+++ b/tidebend/quota/__init__.py
@@ -1,12 +1,19 @@
-"""Teams: what they use, their limits, and the quota shares of these limits that zones hold."""
+"""Resource usage and limits of teams, and the quotas by which a limit is divided among zones."""
 
-from tidebend.quota.records import EXHAUSTED, QUOTA_PREFIX, TEAM_PREFIX, QuotaAmount, QuotaAmountLike, amount
+from tidebend.quota.records import (
+    EXHAUSTED_CHARGE,
+    QUOTA_PREFIX,
+    TEAM_PREFIX,
+    QuotaAmount,
+    QuotaAmountLike,
+    round_amount,
+)
 from tidebend.quota.team_usage import TeamUsage
 from tidebend.quota.usage_index import UsageIndex
-from tidebend.quota.zone_quotas import ZoneQuotas, fits_within, lower_shares, raise_shares
+from tidebend.quota.zone_quotas import ZoneQuotas, fits_within, lower_quotas, raise_quotas
 
 __all__ = [
-    "EXHAUSTED",
+    "EXHAUSTED_CHARGE",
     "QUOTA_PREFIX",
     "TEAM_PREFIX",
     "QuotaAmount",
@@ -14,8 +21,8 @@
     "TeamUsage",
     "UsageIndex",
     "ZoneQuotas",
-    "amount",
     "fits_within",
-    "lower_shares",
-    "raise_shares",
+    "lower_quotas",
+    "raise_quotas",
+    "round_amount",
 ]
--- a/tidebend/quota/records.py
+++ b/tidebend/quota/records.py
@@ -1,4 +1,4 @@
-"""The records of teams, and amounts of resources as they are counted for them."""
+"""Key prefixes of the records of teams, and arithmetic on their amounts of resources."""
 
 from __future__ import annotations
 
@@ -7,32 +7,34 @@
 
 from tidebend.kvclient import LIVE
 
-# key prefix of what a team's live jobs were ever allocated, in the first format version
+# Key prefix of the records of the first schema version: the resources of all tasks of a team's live jobs that were
+# ever allocated.
 TEAM_PREFIX = LIVE + "team/"
-# the value there of a team with quota shares: it leaves no room for allocations by controllers of that version
-EXHAUSTED = [1e15, 1e15]
-# key prefix of a team's limit divided into quota shares of zones
+# The value of that record for a team with zone quotas. It exceeds any limit, so that controllers of the first schema
+# version allocate nothing for the team.
+EXHAUSTED_CHARGE = [1e15, 1e15]
+# key prefix of the records that divide a team's limit into zone quotas
 QUOTA_PREFIX = LIVE + "quota/"
 
 
 class QuotaAmount(NamedTuple):
-    """An amount of the resources that are limited."""
+    """An amount of the resources to which limits apply."""
 
     cpus: float
     gpus: float
 
 
-# what functions take: a `QuotaAmount`, or a plain pair of CPUs and GPUs
+# accepted by functions: a `QuotaAmount`, or a plain pair of CPUs and GPUs
 QuotaAmountLike = tuple[float, float]
 
-NOTHING = QuotaAmount(0.0, 0.0)
+ZERO_AMOUNT = QuotaAmount(0.0, 0.0)
 
 
-def amount(value: float) -> float:
-    """Return a sum without its rounding error: to six digits after the point, and never negative."""
+def round_amount(value: float) -> float:
+    """Return a sum without its rounding error: rounded to 6 decimal places, and 0 if negative."""
     return max(0.0, round(value, 6))
 
 
-def total_of(amounts: Collection[QuotaAmountLike]) -> QuotaAmount:
-    """Return the sum of some amounts."""
-    return QuotaAmount(sum([row[0] for row in amounts]), sum([row[1] for row in amounts]))
+def sum_of(amounts: Collection[QuotaAmountLike]) -> QuotaAmount:
+    """Return the sum of the amounts."""
+    return QuotaAmount(sum([amount[0] for amount in amounts]), sum([amount[1] for amount in amounts]))
