--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""A zone that is lost: when what stands in it is given up, by whom room is held for it, and who knows of it."""
+"""Loss of a zone: when its machines are released, which shards reserve capacity, and how the loss is recorded."""
 
 import pytest
 from hypothesis import given
@@ -18,7 +18,7 @@
     without_lost_zones,
 )
 
-HOLD = IsolationWindow(begin=90.0, until=100.0, end=115.0)
+WINDOW = IsolationWindow(begin=90.0, until=100.0, end=115.0)
 
 
 @pytest.fixture
@@ -26,31 +26,31 @@
     yield from begun()
 
 
-def given_up(standings, turn_s=1.0, until=140.0):
-    """Machine -> when it goes."""
-    gone, now = {}, 80.0
+def release_times(contents, step_s=1.0, until=140.0):
+    """Return when each machine is released: machine -> time."""
+    released_at, now = {}, 80.0
     while now < until:
-        left = [row for row in standings if row.machine not in gone]
-        gone.update(dict.fromkeys(machines_to_evacuate(left, HOLD, now, turn_s), now))
-        now += turn_s
-    return gone
+        left = [row for row in contents if row.machine not in released_at]
+        released_at.update(dict.fromkeys(machines_to_evacuate(left, WINDOW, now, step_s), now))
+        now += step_s
+    return released_at
 
 
 @given(st.integers(1, 60), st.sampled_from([0.5, 1.0, 2.0, 4.0]))
-def test_replicas_leave_in_even_turns_and_none_stays_to_the_end(machines, turn_s):
-    gone = given_up([MachineContents(f"m{n:02}", replicas=1 + n % 2) for n in range(machines)], turn_s)
-    assert len(gone) == machines
-    assert min(gone.values()) >= HOLD.begin
-    assert max(gone.values()) <= HOLD.end + turn_s
-    turns = (HOLD.end - HOLD.begin) / turn_s
-    most = max(sum(1 for at in gone.values() if at == turn) for turn in set(gone.values()))
-    assert most <= machines / turns + 2
-    doubles = [at for name, at in gone.items() if int(name[1:]) % 2]
-    assert not doubles or max(doubles) <= min(at for name, at in gone.items() if not int(name[1:]) % 2) + turn_s
+def test_replicas_leave_in_even_turns_and_none_stays_to_the_end(machines, step_s):
+    released_at = release_times([MachineContents(f"m{n:02}", replicas=1 + n % 2) for n in range(machines)], step_s)
+    assert len(released_at) == machines
+    assert min(released_at.values()) >= WINDOW.begin
+    assert max(released_at.values()) <= WINDOW.end + step_s
+    steps = (WINDOW.end - WINDOW.begin) / step_s
+    most = max(sum(1 for at in released_at.values() if at == step) for step in set(released_at.values()))
+    assert most <= machines / steps + 2
+    doubles = [at for name, at in released_at.items() if int(name[1:]) % 2]
+    assert not doubles or max(doubles) <= min(at for name, at in released_at.items() if not int(name[1:]) % 2) + step_s
 
 
 def test_batch_work_that_ends_inside_is_waited_for_and_the_rest_begins_anew_elsewhere():
-    gone = given_up(
+    released_at = release_times(
         [
             MachineContents("ends", batch_ends=(105.0,)),
             MachineContents("two", batch_ends=(103.0, 200.0)),
@@ -60,12 +60,12 @@
             MachineContents("gang", batch_ends=(200.0,), extra_wait_s=20.0),
         ]
     )
-    assert gone == {"long": 101.0, "over": 101.0, "idle": 101.0, "two": 103.0, "ends": 105.0, "gang": 121.0}
+    assert released_at == {"long": 101.0, "over": 101.0, "idle": 101.0, "two": 103.0, "ends": 105.0, "gang": 121.0}
 
 
 def test_nothing_leaves_a_zone_that_comes_back_before_its_replicas_had_to():
     rows = [MachineContents("a", replicas=2), MachineContents("b", batch_ends=(300.0,))]
-    assert not [name for now in range(80, 90) for name in machines_to_evacuate(rows, HOLD, float(now), 1.0)]
+    assert not [name for now in range(80, 90) for name in machines_to_evacuate(rows, WINDOW, float(now), 1.0)]
 
 
 @given(st.integers(0, 100), st.integers(1, 9))
@@ -93,21 +93,21 @@
     world.cuts.append(Cut("n1", zone, until, False))
 
 
-def seconds_until(world, true, most=40.0):
+def seconds_until(world, condition, max_s=40.0):
     began = world.now
-    while not true() and world.now - began < most:
+    while not condition() and world.now - began < max_s:
         world.step()
     return world.now - began
 
 
 def test_a_lost_zone_is_known_as_soon_as_its_controllers_lease_has_ended(world):
-    """It took a silence of each holder's own, one after the other: by then all that stood there was lost."""
+    """Each successive holder waited for its own time-out, by the end of which all tasks in the zone were lost."""
     outside = world.controllers["n1"]
     cut_off(world, "n0", "north", 60.0)
     took = seconds_until(world, lambda: outside.coordinator.unreachable_zones() == {"north"})
     settings = outside.settings
     assert took <= settings.controller_lease_s + 2.0 * settings.report_s + 2.0
-    # and it is on record for whoever is started meanwhile
+    # the loss is recorded for controllers that start meanwhile
     value = world.state.items[ZONE + "north"][0]
     assert value["node"] == "n0"
     assert value["held"] is True
@@ -129,7 +129,7 @@
 
 
 def test_a_controller_that_dies_leaves_no_lost_zone_behind(world):
-    """Its workers answer the others: the zone is not lost, whatever became of its controller."""
+    """The zone's workers answer the other controllers, so the zone is not lost."""
     world.crash("n0", 1e6)
     outside = world.controllers["n1"]
     for _ in range(200):
@@ -138,7 +138,7 @@
 
 
 def test_what_others_gave_back_is_not_taken_for_silent(world):
-    """A controller that came back from a cut took its zone for lost again by machines that were long gone."""
+    """A controller back from a partition considered its zone lost again by machines that others had released."""
     controller = world.controllers["n0"]
     peer = controller.peer_exchange.peers["n1"]
     assert "vm-000000" in controller.machine_registry.machines
--- a/tidebend/zone_failover/evacuation.py
+++ b/tidebend/zone_failover/evacuation.py
@@ -1,7 +1,7 @@
-"""When the machines of an isolated zone are given up: pure functions of what is allocated to them.
+"""When the machines of an isolated zone are released: pure functions of the tasks allocated to them.
 
-A zone is isolated when the controllers outside can't reach it. Its own controller may work on for a while, and nothing
-in it is lost until then; it may also become reachable again before.
+A zone is isolated when the controllers outside can't reach it. Its own controller may go on working for a while, during
+which no task is lost, and the zone may become reachable again.
 """
 
 from __future__ import annotations
@@ -12,32 +12,33 @@
 
 @dataclass(frozen=True, slots=True)
 class IsolationWindow:
-    """How long an isolated zone works on; monotonic times in seconds."""
+    """How long an isolated zone goes on working, in monotonic times in seconds."""
 
-    begin: float  # from here on replicas are moved out
+    begin: float  # replicas are moved out from this time on
     until: float  # the latest time at which the zone's controller answers its workers
-    end: float  # the end of a worker's lease that began then: all tasks in the zone have ended
+    end: float  # the last worker's lease has ended, and with it all tasks in the zone
 
 
 @dataclass(frozen=True, slots=True)
 class MachineContents:
-    """What is allocated to a machine of an isolated zone."""
+    """The tasks allocated to a machine of an isolated zone."""
 
     machine: str
     replicas: int = 0  # of services
     batch_ends: tuple[float, ...] = ()  # monotonic times at which its other tasks are expected to end
-    # how much longer than `IsolationWindow.until` the machine is waited for: that of a gang has the gang's image
+    # seconds for which the machine is kept after `IsolationWindow.until`; a gang's machine has the gang's image
     extra_wait_s: float = 0.0
 
 
-# more replicas first, then fewer other tasks, then by name
+# sorts machines with more replicas first, then with fewer other tasks, then by name
 EvacuationOrder = tuple[int, int, str]
 
 
 def evacuation_order(contents: MachineContents) -> EvacuationOrder:
-    """Return the sort key by which machines are given up.
+    """Return the sort key for the order in which machines are released.
 
-    Those go first that hold most replicas, which are missed at once, and with the least other work beside them.
+    Machines with most replicas come first, since a service misses replicas at once; among these, machines with the
+    fewest other tasks.
     """
     return -contents.replicas, len(contents.batch_ends), contents.machine
 
@@ -45,13 +46,14 @@
 def machines_to_evacuate(
     machines: list[MachineContents], window: IsolationWindow, now: float, interval_s: float
 ) -> list[str]:
-    """Return the names of the machines that are given up now; to be called again every `interval_s`.
-
-    Replicas would be missed all at once at the end of the window, so they are moved out in even steps from its begin.
-    Batch tasks go on within the zone, and a result is kept. So a machine is waited for if one of its tasks is expected
-    to end in time; the others are given up, and their tasks started again elsewhere, as soon as the zone's controller
-    may have stopped answering. A gang's machine is waited for longer, in proportion to the time that another one would
-    take to boot and to fetch the image, since it still has the image if the zone becomes reachable again.
+    """Return the names of the machines to release now; to be called again every `interval_s`.
+
+    Without evacuation, all replicas would be lost at the end of the window, so they are moved out in even steps from
+    its begin. Batch tasks go on within the zone, and their results are kept. A machine is therefore kept while one of
+    its tasks is expected to end in time; the others are released as soon as the zone's controller may have stopped
+    answering, and their tasks are restarted elsewhere. A gang's machine is kept longer, in proportion to the time that
+    a new one would take to boot and to fetch the image, since it still has the image if the zone becomes reachable
+    again.
     """
     ordered = sorted(machines, key=evacuation_order)
     serving = [contents for contents in ordered if contents.replicas]
@@ -63,7 +65,7 @@
 def _serving_machines_due(
     serving: list[MachineContents], window: IsolationWindow, now: float, interval_s: float
 ) -> list[MachineContents]:
-    """Return the machines with replicas whose turn it is, of those left, in evacuation order."""
+    """Return which of the remaining machines with replicas to release in this step, in evacuation order."""
     if not serving or now < window.begin:
         return []
     steps_left = max(1.0, (window.end - now) / interval_s)
@@ -71,7 +73,7 @@
 
 
 def _batch_machine_is_due(contents: MachineContents, window: IsolationWindow, now: float) -> bool:
-    """Whether a machine without replicas is given up."""
+    """Return whether to release a machine without replicas."""
     if contents.extra_wait_s > 0.0:
         return now > window.until + contents.extra_wait_s
     ends_in_time = any(now < end <= window.end for end in contents.batch_ends)
