--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""What must go on holding when a fleet outgrows the numbers that its files name."""
+"""Behaviour with large fleets: the machine list, releases, connections, released machines and peer frames."""
 
 import contextlib
 import itertools
@@ -29,18 +29,18 @@
     yield from begun()
 
 
-class Clock:
+class FakeClock:
     def __init__(self, monkeypatch):
         self.now = 1000.0
         monkeypatch.setattr(time, "monotonic", lambda: self.now)
 
 
-def pages_of(fleet, budget, log):
-    """A cloud that lists so many machines and takes so many calls a second."""
+def paged_cloud(fleet, budget, log):
+    """Return a fake `CloudClient.call` that lists `fleet` machines and appends the number left to `log`."""
     names = [f"vm-{number:06d}" for number in range(fleet)]
 
-    def call(method, path, body, floor=0.0):
-        if not budget.take(1.0, floor):
+    def call(method, path, body, reserve=0.0):
+        if not budget.take(1.0, reserve):
             return None
         after = path.partition("from=")[2].partition("&")[0]
         left = [name for name in names if name > after]
@@ -64,48 +64,48 @@
 
 @pytest.mark.parametrize("fleet", [PAGE_SIZE - 1, PAGE_SIZE + 1, 2 * PAGE_SIZE, 4 * PAGE_SIZE + 1])
 def test_a_list_of_any_length_is_read_with_few_calls_and_leaves_most_of_them(fleet, monkeypatch):
-    """With two calls a second the second page of a list never got one, and without a list nothing was rented."""
-    clock = Clock(monkeypatch)
-    calls_per_s, log, others, wholes = 2.0, [], 0, []
+    """With two calls per second the second page was never read, and without a list no machine was provisioned."""
+    clock = FakeClock(monkeypatch)
+    calls_per_s, log, others, read_times = 2.0, [], 0, []
     budget = TokenBucket(calls_per_s, 2.0)
-    listing = MachineInventory(pages_of(fleet, budget, log), 10.0, calls_per_s)
+    inventory = MachineInventory(paged_cloud(fleet, budget, log), 10.0, calls_per_s)
     for _ in range(120):
-        listing.read(clock.now)
-        if listing.machines is not None and listing.as_of not in wholes:
-            wholes.append(listing.as_of)
-            assert len(listing.machines) == fleet
-        while budget.take(1.0):  # rentals take all that is left, each second
+        inventory.read(clock.now)
+        if inventory.machines is not None and inventory.as_of not in read_times:
+            read_times.append(inventory.as_of)
+            assert len(inventory.machines) == fleet
+        while budget.take(1.0):  # provisioning takes all remaining calls, each second
             others += 1
         clock.now += 1.0
-    ages = [later - earlier for earlier, later in itertools.pairwise(wholes)]
+    ages = [later - earlier for earlier, later in itertools.pairwise(read_times)]
     pages = -(-fleet // PAGE_SIZE)
-    assert len(wholes) > 5
+    assert len(read_times) > 5
     assert max(ages) <= 2.5 * max(2.5, pages / (CALLS_SHARE * calls_per_s)) + pages
     assert others >= 0.7 * 120 * calls_per_s
 
 
 def test_a_list_that_is_cut_short_is_read_on_from_where_it_stopped(monkeypatch):
-    Clock(monkeypatch)
-    asked = []
+    FakeClock(monkeypatch)
+    paths = []
 
-    def call(method, path, body, floor=0.0):
-        asked.append(path)
-        if len(asked) == 2:
-            return None  # no call is to be had
-        row = {"id": f"vm-{len(asked):06d}", "address": None, "hull": "box", "harbor": "north", "tide": "running"}
-        return CloudResponse(200, {"fleet": [row], "more": len(asked) < 3})
+    def call(method, path, body, reserve=0.0):
+        paths.append(path)
+        if len(paths) == 2:
+            return None  # the call budget is used up
+        row = {"id": f"vm-{len(paths):06d}", "address": None, "hull": "box", "harbor": "north", "tide": "running"}
+        return CloudResponse(200, {"fleet": [row], "more": len(paths) < 3})
 
-    listing = MachineInventory(call, 10.0, 2.0)
-    listing.read(1000.0)
-    assert listing.machines is None
-    listing.read(1001.0)
-    assert sorted(listing.machines) == ["vm-000001", "vm-000003"]
-    assert listing.as_of == 1000.0
-    assert asked == [protocol.list_path("", PAGE_SIZE), *[protocol.list_path("vm-000001", PAGE_SIZE)] * 2]
+    inventory = MachineInventory(call, 10.0, 2.0)
+    inventory.read(1000.0)
+    assert inventory.machines is None
+    inventory.read(1001.0)
+    assert sorted(inventory.machines) == ["vm-000001", "vm-000003"]
+    assert inventory.as_of == 1000.0
+    assert paths == [protocol.list_path("", PAGE_SIZE), *[protocol.list_path("vm-000001", PAGE_SIZE)] * 2]
 
 
 def test_idle_machines_are_gathered_and_given_back_in_few_calls(world):
-    """A call a second for each holder's idle machines left none for rentals."""
+    """A call per second for each holder's idle machines left no calls for provisioning."""
     autoscaler = world.controllers["n0"].autoscaler
     settings = world.controllers["n0"].settings
     calls = []
@@ -120,7 +120,7 @@
 
 
 def test_more_workers_than_connections_all_get_their_turn_and_users_keep_theirs():
-    """Whoever had come first kept its connection, and the others lost their leases."""
+    """The first workers kept their connections, and the others lost their leases."""
 
     def route(method, path, body):
         return Reply(200, {"path": path}, close_if_crowded=path == "/worker")
@@ -133,7 +133,7 @@
         assert user.request("GET", "/user")[0] == 200
         users_own = user._idle[0]
         missing, tries = {*range(60)}, 0
-        while missing and tries < 200:  # each tries again and again, and keeps its connection if it may
+        while missing and tries < 200:  # each one retries, and keeps its connection if the server allows it
             tries += 1
             for number in sorted(missing):
                 with contextlib.suppress(NoAnswerError, UnreachableError):
@@ -158,7 +158,7 @@
         + 4 * len(settings.peers)
     )
     assert connection_limits.connection_threads(settings) + connection_limits.unresponsive_threads(settings) <= 2000
-    assert connection_limits.connection_threads(settings) > 1600  # however many sockets there are
+    assert connection_limits.connection_threads(settings) > 1600  # independent of the number of sockets
     assert connection_limits.max_incoming_connections(settings) >= most // 2
     if most >= 600:
         assert connection_limits.max_incoming_connections(settings) + ours < most
@@ -183,7 +183,7 @@
     for number in range(500):
         target = CommandTarget(f"vm-{number}", "north", ("10.0.0.1", number), 1)
         command_dispatcher._put(target, command_dispatcher._unresponsive)
-    assert command_dispatcher._unresponsive.qsize() == 500  # none is left out
+    assert command_dispatcher._unresponsive.qsize() == 500  # no target is dropped
     while command_dispatcher.send_next():
         pass
     kept = connection_limits.max_idle_worker_connections(world.controllers["n0"].settings)
@@ -195,7 +195,7 @@
 
 
 def test_late_reports_of_a_whole_large_fleet_that_was_released_at_once_are_no_news():
-    """Beyond 2,000 released machines the first were forgotten: their late reports made them known again."""
+    """Beyond 2,000 released machines the earliest were forgotten, and their late reports registered them again."""
     fleet = MachineRegistry()
     names = [f"vm-{number:06d}" for number in range(LARGE_FLEET)]
     reports = [Report(name, None, "box", "north", False, 1, 1, 0, None, ()) for name in names]
@@ -207,7 +207,7 @@
 
 
 def test_what_was_released_is_forgotten_after_its_time_unless_it_is_needed(monkeypatch):
-    clock = Clock(monkeypatch)
+    clock = FakeClock(monkeypatch)
     fleet = MachineRegistry()
     fleet.mark_released(["old", "holds-a-claim"])
     clock.now += 100.0
@@ -217,12 +217,12 @@
 
 
 def test_an_old_answer_brings_none_of_a_large_fleets_deleted_records_back():
-    """Beyond 2,000 deletions the first tombstones were forgotten while a read begun before them was under way."""
+    """Beyond 2,000 deletions the earliest tombstones were dropped while a read begun before them was in progress."""
     rows = [(f"{LIVE}job/{number}", {"at": number}, number + 1) for number in range(LARGE_FLEET)]
     deletions = [(key, None, version + LARGE_FLEET) for key, _, version in rows]
 
-    class Overtaken:
-        """A first whole read whose answer is overtaken by the watch, which tells of deletions."""
+    class OvertakenStore:
+        """A store whose first full read is overtaken by a watch response with deletions."""
 
         timeout = 1.0
 
@@ -230,11 +230,11 @@
             cache.apply(deletions)
             return rows, False, LARGE_FLEET
 
-    cache = WatchCache(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
+    cache = WatchCache(OvertakenStore(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     cache.catch_up(0.0, "claim")
     assert not cache.under(LIVE)
     cache.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
-    assert len(cache._tombstones) == 0  # no request is under way that could undo them
+    assert len(cache._tombstones) == 0  # no request is in progress that could undo them
 
 
 def test_the_frames_between_controllers_hold_a_large_fleet_and_all_that_was_released():
--- a/tidebend/autoscaling/__init__.py
+++ b/tidebend/autoscaling/__init__.py
@@ -1,6 +1,6 @@
-"""What to rent: pure functions of the waiting tasks and the existing machines, booting ones included."""
+"""Scale-out planning: pure functions of the waiting tasks and the machines that are up or booting."""
 
 from tidebend.autoscaling.capacity import Capacity, Offer, ProvisionRequest
-from tidebend.autoscaling.scale_out import WRONG_BY, plan_provisioning
+from tidebend.autoscaling.scale_out import ESTIMATE_ERROR_FACTOR, plan_provisioning
 
-__all__ = ["WRONG_BY", "Capacity", "Offer", "ProvisionRequest", "plan_provisioning"]
+__all__ = ["ESTIMATE_ERROR_FACTOR", "Capacity", "Offer", "ProvisionRequest", "plan_provisioning"]
--- a/tidebend/autoscaling/capacity.py
+++ b/tidebend/autoscaling/capacity.py
@@ -1,4 +1,4 @@
-"""Machines that are up or booting, and those that could be rented."""
+"""Capacity of machines that are up or booting, and offers of machines to provision."""
 
 from __future__ import annotations
 
@@ -10,40 +10,42 @@
 
 @dataclass(slots=True)
 class Capacity:
-    """A machine that is up or booting: its free amounts now, and what its tasks give back and when."""
+    """A machine that is up or booting: its free resources now, and those that its tasks free later."""
 
     type: MachineType
     zone: str
     spot: bool
     free: Amount
     ready_in: float = 0.0  # seconds until the machine is up
-    returns: list[tuple[float, Amount]] = field(default_factory=list)  # seconds from now, and what is given back
-    most_cpus: float = 0.0  # CPUs that are free once all has been given back
+    # seconds from now, and the amount that is freed then
+    freed_later: list[tuple[float, Amount]] = field(default_factory=list)
+    max_free_cpus: float = 0.0  # free CPUs once all of `freed_later` is free
 
     def __post_init__(self) -> None:
-        """Add up `most_cpus`."""
-        self.most_cpus = self.free[0] + sum(amount[0] for _, amount in self.returns)
+        """Compute `max_free_cpus`."""
+        self.max_free_cpus = self.free[0] + sum(amount[0] for _, amount in self.freed_later)
 
-    def room_by(self, seconds: float) -> Amount:
-        """What is free so many seconds from now, if nothing else is placed."""
+    def free_within(self, seconds: float) -> Amount:
+        """Return the resources that are free after this many seconds if nothing else is assigned."""
         free = self.free
-        for when, amount in self.returns:
+        for when, amount in self.freed_later:
             if when <= seconds:
                 free = add(free, amount)
         return free
 
-    def take(self, amount: Amount, tasks: int) -> None:
-        """Promise room to so many tasks that need this amount each; what is free may become negative."""
-        self.most_cpus -= amount[0] * tasks
+    def assign(self, amount: Amount, tasks: int) -> None:
+        """Assign tasks that need `amount` each; `free` may become negative if they run on resources freed later."""
+        self.max_free_cpus -= amount[0] * tasks
         self.free = subtract(self.free, multiply(amount, tasks))
 
-    def allowed(self, spec: JobSpec, fitting_types: set[str]) -> bool:
-        """Whether the machine is of one of these types, may be lost if it is a spot machine, and has the CPUs.
+    def can_run(self, spec: JobSpec, fitting_types: set[str]) -> bool:
+        """Return whether a task may run on the machine by type, zone, spot or on-demand, and CPUs free now or later.
 
-        Most machines are promised to other requests already, and passed over by the comparison of CPUs alone.
+        Most machines are assigned to other requests already, so the comparison of CPUs comes first: it alone skips
+        them.
         """
         return (
-            self.most_cpus + EPSILON >= spec.cpus
+            self.max_free_cpus + EPSILON >= spec.cpus
             and self.type.name in fitting_types
             and (spec.spot or not self.spot)
             and spec.zone in (None, self.zone)
@@ -52,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A kind of machine that can be rented: its type, where, and whether as a spot machine."""
+    """A choice for provisioning a machine: its type, its zone, and whether it is a spot machine."""
 
     type: MachineType
     zone: str
@@ -60,18 +62,18 @@
 
     @property
     def price(self) -> float:
-        """Price of one machine, in the unit of the provider's list of types."""
+        """Price of one machine, in the unit of the cloud's list of machine types."""
         return self.type.spot_price if self.spot else self.type.price
 
     @property
     def whole(self) -> Amount:
-        """What is free on a new machine."""
+        """The free resources of a new machine."""
         return (self.type.cpus, self.type.gpus, self.type.memory_gb)
 
 
 @dataclass(frozen=True, slots=True)
 class ProvisionRequest:
-    """A number of machines to rent of one offer."""
+    """A number of machines to provision from one offer."""
 
     offer: Offer
     count: int
--- a/tidebend/controller/autoscaling/autoscaler.py
+++ b/tidebend/controller/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler: its parts, and the two loops that step them."""
+"""The autoscaler: its components, and the two loops that run them."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 log = logging.getLogger("autoscaling")
 
-# seconds between checks of the machines, at most; with jitter, so that controllers don't step in time
+# maximum seconds between checks of the machines; with jitter, so that controllers don't check at the same time
 MAX_CHECK_INTERVAL_S = 1.0
 CHECK_JITTER = (0.8, 1.2)
-# seconds between steps of scaling, at least; and so many seconds' worth of calls
+# minimum seconds between scaling steps, and the minimum as a multiple of the time per call under the call budget
 MIN_SCALE_INTERVAL_S = 1.0
 SCALE_INTERVAL_CALLS = 1.5
 SCALE_JITTER = (0.9, 1.1)
-# after an unexpected error
+# seconds without checks after an unexpected error
 ERROR_PAUSE_S = 1.0
 
 
@@ -65,7 +65,7 @@
         zone_probe: ZoneProbe,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        """`connect` makes the client of the cloud's API; no thread is started here."""
+        """`connect` creates the HTTP client of the cloud's API. Starts no thread."""
         self._settings = settings
         self._coordinator = coordinator
         self._peer_exchange = peer_exchange
@@ -74,7 +74,7 @@
         self._scheduling_loop = scheduling_loop
         self._zone_probe = zone_probe
         self._check_interval_s = min(MAX_CHECK_INTERVAL_S, settings.report_s / 2.0)
-        self._checked_at = -math.inf  # steady time of the last check of the machines
+        self._checked_at = -math.inf  # monotonic time of the last check of the machines
         self._leadership: Leadership | None = None
         cloud = CloudClient(settings, connect)
         self.inventory = MachineInventory(cloud.call, settings.list_lag_s, settings.cloud_rps)
@@ -135,7 +135,7 @@
 
     @property
     def recently_released(self) -> dict[str, float]:
-        """Machines that peers are to be informed of: name -> steady time of the release."""
+        """Released machines to report to peers: name -> monotonic time of the release."""
         return self.releaser.recently_released
 
     def start(self) -> None:
@@ -153,16 +153,16 @@
                 time.sleep(ERROR_PAUSE_S)
 
     def check_machines_once(self) -> None:
-        """Check the machines of our shards once; to be called about every `_check_interval_s`.
+        """Check the machines of this controller's shards once; to be called about every `_check_interval_s`.
 
-        Raises InvalidMessageError for a response of the cloud that can't be read.
+        Raises InvalidMessageError for an invalid response of the cloud.
         """
         now = time.monotonic()
         self.releaser.retry_clearing(now)
         released_by_peers = released_by(self._peer_exchange.peers)
         grants = self._forget_foreign_machines(released_by_peers, now)
         if now - self._checked_at > self._check_interval_s + REDIRECT_S:
-            self.unresponsive_machines.restart_observation()
+            self.unresponsive_machines.reset_diversions()
         self._checked_at = now
         self._zone_probe.check_zones()
         self.cancelled_work.record_cancelled(now)
@@ -178,10 +178,10 @@
         self.scale_in.release(surplus, now)
 
     def _forget_foreign_machines(self, released_by_peers: set[str], now: float) -> dict[str, ShardGrant]:
-        """Forget machines that others have released or hold by now; returns our grants by shard.
+        """Forget machines that other controllers have released or hold; return this controller's grants by shard.
 
-        Without it a controller that was cut off took machines that others had released meanwhile for unresponsive, and
-        once it knew no other machines of its zone, the zone for unreachable.
+        Otherwise a controller that was cut off would consider machines unresponsive that others released meanwhile,
+        and the zone unreachable if it knew no other machines there.
         """
         registry = self._machine_registry
         registry.forget([machine.name for machine in registry.all() if machine.name in released_by_peers])
@@ -199,17 +199,17 @@
         interval_s = max(MIN_SCALE_INTERVAL_S, SCALE_INTERVAL_CALLS / self._settings.cloud_rps)
         while True:
             try:
-                self.scale_once()  # at once after a start: without the machine types nothing can be decided
+                self.scale_once()  # first step without a pause: nothing can be decided without the machine types
             except InvalidMessageError as error:
-                log.error("cloud: unexpected answer: %s", error)
+                log.error("cloud: invalid response: %s", error)
             except Exception:
                 log.exception("autoscaling")
             time.sleep(interval_s * random.uniform(*SCALE_JITTER))
 
     def scale_once(self) -> None:
-        """Read the machine types if need be; as the leader also read the list of machines, and provision.
+        """Read the machine types if they are due; on the leader, also read the machine list and provision machines.
 
-        Raises InvalidMessageError for a response of the cloud that can't be read.
+        Raises InvalidMessageError for an invalid response of the cloud.
         """
         now = time.monotonic()
         term = self._coordinator.term
--- a/tidebend/controller/autoscaling/cancelled_work.py
+++ b/tidebend/controller/autoscaling/cancelled_work.py
@@ -1,4 +1,4 @@
-"""Cancelled work on machines that hang: such machines are released, so that the work surely ends."""
+"""Releases machines that hang with cancelled work, so that the work is certain to end."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
+from tidebend.controller.autoscaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from tidebend.controller.workers.zone_probe import SAMPLE_SIZE, ProbeRound, ZoneProbe
 from tidebend.coordination import Coordinator, PeerExchange, shard_of
 from tidebend.settings import Settings
 
-# a machine doesn't respond if so many probes in a row had no answer
-MAX_PROBES = 2
-# a machine is probed once its last contact is so many report intervals ago
-SILENT_REPORTS = 2.0
+# a machine is unresponsive after this many consecutive unanswered probes
+MAX_UNANSWERED_PROBES = 2
+# report intervals without contact after which a machine is probed
+SILENT_REPORT_INTERVALS = 2.0
 
 
 def has_cancelled_work(job_cache: JobCache, machine: str) -> bool:
-    """Whether a machine has allocations of a cancelled job."""
+    """Return whether a machine has allocations of a cancelled job."""
     return any(job.cancelled for job, _ in job_cache.on_machine(machine))
 
 
 class CancelledWorkReaper:
     """Releases unresponsive machines with allocations of jobs that were cancelled long ago.
 
-    Without it, cancelled tasks ran on for too long on machines that hang: in an outage of the key-value store no
+    Otherwise cancelled tasks would run on too long on machines that hang: in an outage of the key-value store no
     controller has a lease, a worker that hangs can't end its tasks when its own lease ends, and shard holders that
-    follow one another within moments each waited anew for the machine to become unresponsive. A job that is cancelled
-    stays so, so that the release is right whoever holds the shard by now and whether or not our lease is valid, and
-    the cloud's confirmation is the proof once the store is back. A worker that is merely out of reach has lost its
+    succeed each other quickly each wait again for the machine to become unresponsive. Since cancellation is final, the
+    release is correct whoever holds the shard and whether or not this controller's lease is valid. The cloud's
+    confirmation proves the end of the tasks once the store is back. A worker that is merely unreachable has ended its
     tasks by then.
     """
 
@@ -44,7 +44,7 @@
         zone_probe: ZoneProbe,
         releaser: MachineReleaser,
     ) -> None:
-        """`zone_probe` sends the probes, and `releaser` releases the machines that don't answer them."""
+        """`zone_probe` sends the probes, and `releaser` releases the machines that don't answer."""
         self._settings = settings
         self._coordinator = coordinator
         self._peer_exchange = peer_exchange
@@ -52,12 +52,12 @@
         self._machine_registry = machine_registry
         self._zone_probe = zone_probe
         self._releaser = releaser
-        # cancelled job with allocations -> steady time since which it is known here; None before the first read
+        # cancelled job with allocations -> monotonic time since which it is known here; None before the first read
         self._cancelled_since: dict[str, float] | None = None
         self._probes: dict[str, list[ProbeRound]] = {}  # machine -> its latest probes, oldest first
 
     def record_cancelled(self, now: float) -> None:
-        """Record since when cancelled jobs are known here; those of our first read count as cancelled long ago."""
+        """Record since when cancelled jobs are known here; those of the first read count as cancelled long ago."""
         if not self._coordinator.cache.loaded.is_set():
             return
         if self._cancelled_since is None:
@@ -71,8 +71,8 @@
     def release_unresponsive(self, released_by_peers: set[str], now: float) -> None:
         """Probe machines with work that was cancelled long ago, and release those that don't answer.
 
-        Not by a controller that has lost contact to all peers and workers: then it is itself cut off. Raises
-        InvalidMessageError for a response of the cloud that can't be read.
+        A controller without recent contact to any peer or worker releases nothing: it is itself cut off. Raises
+        InvalidMessageError for an invalid response of the cloud.
         """
         held_shards = {grant.shard for grant in self._coordinator.grants()}
         peer_contacts = [peer.at for peer in self._peer_exchange.peers.values()]
@@ -81,17 +81,17 @@
                 machine.name: max(machine.last_heartbeat, machine.last_direct_answer)
                 for machine in self._machine_registry.machines.values()
             }
-            # allocations on released machines wait for the key-value store
+            # their allocations remain only until the key-value store can be written
             released = released_by_peers | self._machine_registry.released_at.keys()
         overdue = self._overdue_machines(contacts, released, now)
         unresponsive = self._probe(overdue, held_shards, now)
         latest_contact = max([*peer_contacts, *contacts.values()], default=now)
         if unresponsive and now - latest_contact < self._settings.lease_s:
-            self._releaser.release(unresponsive[:MAX_NAMES])
+            self._releaser.release(unresponsive[:MAX_MACHINES_PER_RELEASE])
 
     def _overdue_machines(self, contacts: dict[str, float], released: set[str], now: float) -> dict[str, str]:
-        """Machines out of contact with work that was cancelled long ago, and their zones."""
-        max_silence_s = SILENT_REPORTS * self._settings.report_s
+        """Return the machines without contact that have work cancelled long ago, and their zones."""
+        max_silence_s = SILENT_REPORT_INTERVALS * self._settings.report_s
         return {
             allocation.machine: allocation.zone
             for job in self._job_cache.live()
@@ -105,10 +105,10 @@
         return job.cancelled and since < now - self._settings.staleness_bound_s
 
     def _probe(self, overdue: dict[str, str], held_shards: set[str], now: float) -> list[str]:
-        """Probe machines, and return those that haven't answered `MAX_PROBES` times in a row."""
+        """Probe machines, and return those with `MAX_UNANSWERED_PROBES` consecutive unanswered probes."""
         self._probes = {name: probes for name, probes in self._probes.items() if name in overdue}
         addresses = self._zone_probe.addresses() if overdue else {}
-        # few at a time: probes of zones that may be lost use the same threads and must not wait
+        # limits concurrent probes: probes of zones that may be lost use the same threads and must not wait
         open_probes = sum(not probes[-1].is_complete for probes in self._probes.values() if probes)
         unresponsive = []
         for name, zone in overdue.items():
@@ -116,7 +116,9 @@
             if shard not in held_shards and not self._has_no_holder(shard, now):
                 continue
             probes = self._probes.setdefault(name, [])
-            if len(probes) >= MAX_PROBES and all(probe.unanswered for probe in probes[-MAX_PROBES:]):
+            if len(probes) >= MAX_UNANSWERED_PROBES and all(
+                probe.unanswered for probe in probes[-MAX_UNANSWERED_PROBES:]
+            ):
                 unresponsive.append(name)
                 continue
             if probes and not probes[-1].is_complete:
@@ -124,10 +126,10 @@
             if name in addresses:
                 if open_probes < SAMPLE_SIZE:
                     open_probes += 1
-                    probes[:] = [*probes[1 - MAX_PROBES :], self._zone_probe.probe(addresses[name].address)]
+                    probes[:] = [*probes[1 - MAX_UNANSWERED_PROBES :], self._zone_probe.probe(addresses[name].address)]
             elif shard in held_shards:
-                # no peer knows its address, and its worker would have reported to us by now
-                probes[:] = [ProbeRound(1, unanswered=1)] * MAX_PROBES
+                # no peer knows its address, and its worker would have reported here already
+                probes[:] = [ProbeRound(1, unanswered=1)] * MAX_UNANSWERED_PROBES
         return unresponsive
 
     def _has_no_holder(self, shard: str, now: float) -> bool:
--- a/tidebend/controller/autoscaling/cloud_client.py
+++ b/tidebend/controller/autoscaling/cloud_client.py
@@ -12,13 +12,13 @@
 
 log = logging.getLogger("autoscaling")
 
-# the cloud takes bursts of so many seconds' worth of calls
+# size of the bursts of calls that the cloud accepts, in seconds of the call rate
 CALLS_BURST_S = 2.0
-KEPT_CONNECTIONS = 2
+MAX_IDLE_CONNECTIONS = 2
 
 
 class CloudResponse(NamedTuple):
-    """A response of the cloud: its HTTP status and its decoded body."""
+    """HTTP status and decoded body of a response of the cloud."""
 
     status: int
     body: Any
@@ -30,24 +30,24 @@
 
 
 class CloudClient:
-    """The cloud's API, called no more often than the settings' `cloud_rps` allows; safe for use by several threads."""
+    """Thread-safe client of the cloud's API that calls it no more often than the settings' `cloud_rps` allows."""
 
     def __init__(self, settings: Settings, connect: Callable[..., HttpClient] = HttpClient) -> None:
-        """`connect` makes the HTTP client of the cloud's address."""
+        """`connect` creates the HTTP client for the cloud's address."""
         self.timeout_s = max(2.0, settings.lease_s / 3.0)
-        self._http = connect(settings.cloud, max_idle=KEPT_CONNECTIONS)
+        self._http = connect(settings.cloud, max_idle=MAX_IDLE_CONNECTIONS)
         self._budget = TokenBucket(settings.cloud_rps, CALLS_BURST_S)
 
     def call(self, method: str, path: str, body: Any = None, reserve: float = 0.0) -> CloudResponse | None:
-        """One call; None if the budget doesn't allow it, or if there is no usable response.
+        """Make a call; return None if the budget doesn't allow it or if there is no usable response.
 
-        After None the call may have been executed all the same. `reserve` is the share of a second's calls that must
-        be left over for others.
+        If it returns None, the call may have been executed all the same. `reserve` is the fraction of one second's
+        calls that must remain in the budget for other callers.
         """
         if not self._budget.take(1.0, reserve):
             return None
         try:
             return CloudResponse(*self._http.request(method, path, body, self.timeout_s))
         except (UnreachableError, NoAnswerError) as error:
-            log.info("cloud: %s %s: %s", method, path, error)
+            log.info("cloud: %s %s failed: %s", method, path, error)
             return None
--- a/tidebend/controller/autoscaling/leadership.py
+++ b/tidebend/controller/autoscaling/leadership.py
@@ -1,4 +1,4 @@
-"""The leader's term, as scaling out needs it."""
+"""The leader's term as used for scaling out."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Leadership(NamedTuple):
-    """A term in which this controller leads without a break."""
+    """An uninterrupted term of this controller as leader."""
 
-    term: int  # one election of one process
-    since: float  # steady time at which the autoscaler first saw it
+    term: int  # unique to one election of one process
+    since: float  # monotonic time at which the autoscaler first saw the term
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -1,4 +1,4 @@
-"""Releasing machines at the cloud, and what follows from a confirmed release."""
+"""Releasing machines at the cloud, and clearing the allocations on them once the release is confirmed."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 log = logging.getLogger("autoscaling")
 
-# the cloud takes so many names in one release
-MAX_NAMES = 100
-# peers are informed of a release for so many of the workers' leases
+# maximum number of machines in one release call
+MAX_MACHINES_PER_RELEASE = 100
+# a release is reported to peers for this multiple of the workers' lease
 ANNOUNCED_LEASES = 6
-# A released machine is remembered, so that nothing late counts as news of it, for so many of the workers' leases and of
-# the list's lags. Copies of reports come up to two leases late.
+# A released machine is remembered, so that late reports and lists don't make it known again, for this multiple of the
+# workers' lease plus this multiple of the list's lag. Copies of reports arrive up to two leases late.
 REMEMBERED_LEASES = 20.0
 REMEMBERED_LAGS = 4.0
 
 
 class MachineReleaser:
-    """Releases machines. The cloud's confirmation proves that nothing runs there any more, so allocations are cleared.
+    """Releases machines, and clears their allocations once the cloud has confirmed that nothing runs there any more.
 
     Used by the leader and by every shard holder.
     """
@@ -46,8 +46,8 @@
         job_writer: JobWriter,
         wake_scheduler: Callable[[], None],
     ) -> None:
-        """`wake_scheduler` is called when allocations have been cleared, so that their tasks are placed again."""
-        self.recently_released: dict[str, float] = {}  # name -> steady time; what peers are informed of
+        """`wake_scheduler` is called after allocations are cleared, so that their tasks are placed again."""
+        self.recently_released: dict[str, float] = {}  # name -> monotonic time of the release; reported to peers
         self._cloud = cloud
         self._tracked_machines = tracked_machines
         self._machine_registry = machine_registry
@@ -55,14 +55,14 @@
         self._job_writer = job_writer
         self._wake_scheduler = wake_scheduler
         self._announced_s = ANNOUNCED_LEASES * settings.lease_s
-        # longer than reports and the cloud's list are late by
+        # exceeds the delay of reports and of the cloud's list
         self._remembered_s = REMEMBERED_LEASES * settings.lease_s + REMEMBERED_LAGS * settings.list_lag_s
 
     def release(self, names: list[str]) -> bool:
-        """Release up to `MAX_NAMES` machines; True if the cloud has confirmed it of all of them.
+        """Release up to `MAX_MACHINES_PER_RELEASE` machines; return whether the cloud confirmed all of them.
 
-        Allocations on confirmed machines are cleared at once, or by `retry_clearing` if that can't be written. Raises
-        InvalidMessageError for a response that can't be read.
+        Allocations on confirmed machines are cleared at once, or by `retry_clearing` if the write fails. Raises
+        InvalidMessageError for an invalid response.
         """
         response = self._cloud.call("POST", protocol.PATH_RELEASE, protocol.release_request(names))
         confirmed = self._confirmed(names, response)
@@ -70,7 +70,7 @@
             return False
         self._machine_registry.mark_released(confirmed)
         self._announce(confirmed)
-        log.info("released %s", ", ".join(confirmed))
+        log.info("released machines: %s", ", ".join(confirmed))
         self._clear_allocations(set(confirmed))
         return response is not None and response.ok
 
@@ -81,7 +81,7 @@
         if response.ok:
             return names
         if response.status == HTTPStatus.CONFLICT:
-            # a provider that can't prove it of all machines: it confirms those that it names
+            # a provider that can't confirm all machines: the response names those that it confirms
             return [name for name in protocol.parse_rented(response.body) if name in names]
         return []
 
@@ -94,7 +94,7 @@
             del self.recently_released[name]
 
     def _clear_allocations(self, machines: set[str]) -> None:
-        """Remove the allocations on released machines: all that they ran or might have started has ended."""
+        """Remove the allocations on released machines: every task that ran or may have started there has ended."""
 
         def edit(job: Job, _: TeamUsage) -> Job:
             return job.without_tasks(job.allocated_on(machines), 0)
@@ -103,12 +103,12 @@
         try:
             self._job_writer.change_all([JobEdit(job, edit) for job in jobs])
         except (NotExecutedError, OutcomeUnknownError) as error:
-            log.info("%s keep allocations on machines that are gone: %s", ", ".join(jobs), error)
+            log.info("%s: could not clear allocations on released machines, will retry: %s", ", ".join(jobs), error)
             return
         self._wake_scheduler()
 
     def retry_clearing(self, now: float) -> None:
-        """Clear allocations whose removal could not be written before, and forget releases that are long past."""
+        """Clear allocations whose removal could not be written before, and forget old releases."""
         with self._machine_registry.lock:
             allocated = self._job_cache.machines()
             released = {name for name in allocated if name in self._machine_registry.released_at}
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Scaling out: the leader provisions machines for the waiting work, and releases those that never came up."""
+"""Scaling out: the leader provisions machines for waiting work, and releases those that failed to come up."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tidebend.cluster_state.job_records import Job
 from tidebend.controller.autoscaling.leadership import Leadership
 from tidebend.controller.autoscaling.machine_inventory import MachineInventory
-from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
+from tidebend.controller.autoscaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from tidebend.controller.autoscaling.machine_types import MachineTypes
 from tidebend.controller.autoscaling.provisioner import Provisioner
 from tidebend.controller.autoscaling.tracked_machines import FleetView, TrackedMachine, TrackedMachines
@@ -20,20 +20,20 @@
 from tidebend.scheduling import Amount, TaskRequest, need_of
 from tidebend.settings import Settings
 
-# a new leader provisions nothing for so many seconds, until it has read the list and its peers' frames
-SETTLE_S = 1.5
-# machines in one request; the most that the protocol allows
-MAX_PER_REQUEST = 50
-# of running tasks, half are taken to have had to fetch their image first
+# seconds in which a new leader provisions nothing, so that it reads the machine list and its peers' frames first
+NEW_LEADER_DELAY_S = 1.5
+# maximum number of machines in one request, defined by the protocol
+MAX_MACHINES_PER_REQUEST = 50
+# share of running tasks that are assumed to have fetched their image first
 FETCH_SHARE = 0.5
-# a task that overruns its estimate is expected to go on for this share of it
+# expected remaining run time of a task that overruns its estimate, as a share of the estimate
 OVERRUN_SHARE = 0.3
-# a machine that boots for longer than its type should is expected within so many seconds
+# expected seconds until a machine is up that takes longer to boot than its type should
 MIN_READY_S = 1.0
 
 
 class ScaleOut:
-    """One step of the leader: compare the waiting work with the machines at hand and on their way, and provision."""
+    """Scaling out on the leader: provisions machines for waiting work that machines up or booting can't run in time."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         releaser: MachineReleaser,
         provisioner: Provisioner,
     ) -> None:
-        """`scheduling_loop` tells what work waits and for how long tasks run."""
+        """`scheduling_loop` provides the pending jobs and the estimates of run times."""
         self.provisioner = provisioner
         self._settings = settings
         self._coordinator = coordinator
@@ -58,15 +58,15 @@
         self._releaser = releaser
 
     def run(self, leadership: Leadership, inventory: MachineInventory, view: FleetView) -> None:
-        """Release machines that can't be used, and provision what is missing; `inventory` holds a complete list.
+        """Release unusable machines, and provision missing ones; `inventory` holds a complete list.
 
-        Raises InvalidMessageError for a response of the cloud that can't be read.
+        Raises InvalidMessageError for an invalid response of the cloud.
         """
         now, clock = time.monotonic(), time.time()
         overdue = self._release_unusable(inventory, view, now)
-        if now - leadership.since < SETTLE_S:
+        if now - leadership.since < NEW_LEADER_DELAY_S:
             return
-        # what is provisioned in a zone that nobody can reach can't be used, nor what is there already
+        # machines in a zone that no controller can reach can't be used, neither new nor existing ones
         unreachable = {zone for zone in self._settings.zones if self._coordinator.is_unreachable_by_all(shard_of(zone))}
         excluded = view.released.union(overdue)
         capacities = self._capacities(view.reporting, excluded, unreachable, now, clock)
@@ -77,18 +77,22 @@
             per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + 1
         capacities.sort(key=lambda capacity: (capacity.ready_in, capacity.spot))
         needed = plan_provisioning(requests, capacities, offers, now=clock, machines_by_zone=per_zone)
-        # Few calls are available, and each of them that finds no capacity is one less: what failed least goes first,
-        # so that offers without capacity don't delay those that have some.
-        for rental in sorted(needed, key=lambda rental: self.provisioner.backoff.shortages(rental.offer)):
-            self.provisioner.provision(leadership.term, rental.offer, min(MAX_PER_REQUEST, rental.count))
+        # Calls are few, and each one that finds no capacity uses up the budget: offers with the fewest shortages go
+        # first, so that offers without capacity don't delay the others.
+        for provision_request in sorted(
+            needed, key=lambda provision_request: self.provisioner.backoff.shortages(provision_request.offer)
+        ):
+            self.provisioner.provision(
+                leadership.term, provision_request.offer, min(MAX_MACHINES_PER_REQUEST, provision_request.count)
+            )
 
     def _release_unusable(self, inventory: MachineInventory, view: FleetView, now: float) -> list[str]:
-        """Release machines that failed to boot, or that should report by now; returns the latter."""
+        """Release machines that failed to boot or are overdue to report; return the overdue ones."""
         listed = inventory.machines or {}
         failed = [name for name, row in listed.items() if row.state == "failed" and name not in view.released]
         overdue = self._tracked_machines.update(inventory, view, now)
         if failed or overdue:
-            self._releaser.release((failed + overdue)[:MAX_NAMES])
+            self._releaser.release((failed + overdue)[:MAX_MACHINES_PER_RELEASE])
         return overdue
 
     def _capacities(
@@ -99,7 +103,7 @@
         now: float,
         clock: float,
     ) -> list[Capacity]:
-        """The machines at hand and on their way, with what is free on them and when the rest becomes free."""
+        """Return the machines that are up or booting, with their free resources now and later."""
         capacities = []
         for name, machine in self._tracked_machines.merged_with(reporting):
             machine_type = self._machine_types.by_name.get(machine.type)
@@ -115,16 +119,16 @@
         self, name: str, machine: TrackedMachine, machine_type: MachineType, ready_in: float, clock: float
     ) -> Capacity:
         free: Amount = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-        returns = []
+        freed_later = []
         for job, allocation in self._job_cache.on_machine(name):
             amount = _times(need_of(job.spec), allocation.tasks.bit_count())
             free = _minus(free, amount)
             if job.spec.kind != "service":
-                returns.append((self._remaining_s(job, allocation, machine_type, clock), amount))
-        return Capacity(machine_type, machine.zone, machine.spot, free, ready_in, returns)
+                freed_later.append((self._remaining_s(job, allocation, machine_type, clock), amount))
+        return Capacity(machine_type, machine.zone, machine.spot, free, ready_in, freed_later)
 
     def _remaining_s(self, job: Job, allocation: Allocation, machine_type: MachineType, clock: float) -> float:
-        """In how many seconds the tasks of an allocation are expected to end."""
+        """Return the seconds after which the tasks of an allocation are expected to end."""
         estimate = self._estimates.corrected(job.spec)
         remaining_s = (
             estimate + FETCH_SHARE * machine_type.fetch_s(job.spec.image_gb) - (clock - allocation.allocated_at)
@@ -132,7 +136,7 @@
         return max(remaining_s, OVERRUN_SHARE * estimate)
 
     def _requests(self, now: float, clock: float) -> list[TaskRequest]:
-        """The waiting work, and what will be ready by the time a machine could be up."""
+        """Return the requests of waiting jobs, and of those that become ready by the time a new machine could be up."""
         requests = [
             request
             for job in self._job_cache.live()
@@ -141,7 +145,7 @@
         return requests + self._pending_jobs.requests_soon_ready(now, clock)
 
     def _offers(self, unreachable_zones: set[str], now: float) -> list[Offer]:
-        """What may be provisioned: nothing in unreachable zones, nor what the cloud lately had too few of."""
+        """Return the offers outside unreachable zones, without those in backoff for lack of capacity."""
         return [
             offer
             for machine_type in self._machine_types.by_name.values()
--- a/tidebend/controller/autoscaling/tracked_machines.py
+++ b/tidebend/controller/autoscaling/tracked_machines.py
@@ -1,4 +1,4 @@
-"""Machines that the leader counts on: provisioned ones, listed ones, and those whose workers report."""
+"""Machines that the leader knows of: provisioned ones, listed ones, and those whose workers report."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tidebend.protocol import ListedMachine
 from tidebend.settings import Settings
 
-# a machine must be up within so many times its type's boot time
+# a machine must be up within this multiple of its type's boot time
 BOOT_FACTOR = 3.0
-# the list of machines may be late by so many times its nominal lag
+# the list of machines may lag by this multiple of its nominal lag
 LAG_FACTOR = 2.0
-# a listed machine whose worker reports to nobody is released after so many of the workers' leases
+# a listed machine whose worker reports to no controller is released after this multiple of the workers' lease
 UNREPORTED_LEASES = 2.0
-# a peer's news count as current for so many intervals of the peer exchange
-FRESH_EXCHANGES = 3.0
+# a peer's frame counts as current for this many intervals of the peer exchange
+FRESH_EXCHANGE_INTERVALS = 3.0
 
 
 @dataclass
@@ -30,16 +30,16 @@
     type: str
     zone: str
     spot: bool
-    since: float  # steady time at which it was provisioned, or first known
+    since: float  # monotonic time at which the machine was provisioned, or first known
 
 
 @dataclass(frozen=True)
 class FleetView:
-    """What all controllers together know of the fleet."""
+    """The fleet as known to all controllers together."""
 
     reporting: dict[str, TrackedMachine]  # machines that report to some shard holder, by name
     released: set[str]  # names of machines that some controller has released
-    monitored_shards: set[str]  # shards of whose holders we have current news
+    monitored_shards: set[str]  # shards whose holder is this controller or a peer with a current frame
 
     @classmethod
     def collect(
@@ -49,7 +49,7 @@
         peer_exchange: PeerExchange,
         machine_registry: MachineRegistry,
     ) -> FleetView:
-        """The view from our own registry and the peers' latest news."""
+        """Return the view from this controller's registry and the peers' latest frames."""
         now = time.monotonic()
         reporting: dict[str, TrackedMachine] = {}
         released = set(machine_registry.released_at)
@@ -60,7 +60,7 @@
                     machine.type, machine.zone, machine.spot, machine.first_heartbeat
                 )
         for peer in peer_exchange.peers.values():
-            if now - peer.at < FRESH_EXCHANGES * peer_exchange.pause:
+            if now - peer.at < FRESH_EXCHANGE_INTERVALS * peer_exchange.pause:
                 monitored_shards.update(peer.shards)
             if now - peer.at > settings.lease_s:
                 continue
@@ -73,31 +73,31 @@
 
 
 class TrackedMachines:
-    """The machines that exist or are on their way as far as the leader knows, by name."""
+    """The machines that are up or booting as far as the leader knows, by name."""
 
     def __init__(self, settings: Settings, machine_types: MachineTypes, cloud_timeout_s: float) -> None:
-        """`cloud_timeout_s`: a call that provisions machines may be executed so many seconds after it was made."""
+        """`cloud_timeout_s`: the maximum seconds after which a provisioning call may still be executed."""
         self._settings = settings
         self._machine_types = machine_types
         self._max_lag_s = LAG_FACTOR * settings.list_lag_s
         self._cloud_timeout_s = cloud_timeout_s
         self._machines: dict[str, TrackedMachine] = {}
-        self._unreported_since: dict[str, float] = {}  # name -> steady time since which it is up and reports to nobody
+        self._unreported_since: dict[str, float] = {}  # name -> monotonic time since which it is up without reports
 
     def add(self, name: str, machine: TrackedMachine) -> None:
         """Track a machine that was just provisioned."""
         self._machines[name] = machine
 
     def discard(self, name: str) -> None:
-        """Stop tracking a machine that was released; unknown names are ignored."""
+        """Stop tracking a released machine; ignore unknown names."""
         self._machines.pop(name, None)
 
     def merged_with(self, reporting: dict[str, TrackedMachine]) -> list[tuple[str, TrackedMachine]]:
-        """All machines by name in alphabetical order; what reports is taken as reported."""
+        """Return the tracked and the reporting machines, sorted by name; reported data takes precedence."""
         return sorted({**self._machines, **reporting}.items())
 
     def update(self, inventory: MachineInventory, view: FleetView, now: float) -> list[str]:
-        """Take over a complete list of machines; returns the machines that should report by now and don't."""
+        """Update from a complete list of machines; return the names of those that are overdue to report."""
         listed = inventory.machines or {}
         for name, row in listed.items():
             if name not in view.released and row.state != "failed":
@@ -126,8 +126,8 @@
             machine_type = self._machine_types.by_name.get(machine.type)
             boot_s = machine_type.boot_s if machine_type else self._settings.lease_s
             return now - machine.since > BOOT_FACTOR * boot_s + self._max_lag_s
-        # Up by the list, but it reports to nobody we know of. Only its shard's holder can tell whether that is so:
-        # without current news of the holder nothing follows from our not knowing.
+        # The list says that the machine is up, but no known report came from it. Only its shard's holder can confirm
+        # that: without a current frame of the holder, a missing report proves nothing.
         if shard_of(machine.zone) not in view.monitored_shards:
             self._unreported_since.pop(name, None)
             return False
--- a/tidebend/controller/autoscaling/unresponsive_machines.py
+++ b/tidebend/controller/autoscaling/unresponsive_machines.py
@@ -1,4 +1,4 @@
-"""Unresponsive machines: every shard holder releases those that are out of contact for too long."""
+"""Unresponsive machines: every shard holder releases those without contact for too long."""
 
 from __future__ import annotations
 
@@ -7,29 +7,31 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.machine import Machine
 from tidebend.controller.autoscaling.cancelled_work import has_cancelled_work
-from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
+from tidebend.controller.autoscaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from tidebend.controller.autoscaling.zone_evacuation import ZoneEvacuation
 from tidebend.coordination import Coordinator, PeerExchange, ShardGrant, shard_of
 from tidebend.settings import Settings
 
-# a machine is released when its last contact is this share of the workers' lease ago
+# time without contact after which a machine is released, as a multiple of the workers' lease
 GRACE_LEASES = 0.55
-# ... and if most machines of its shard are unresponsive, so that the network is the likely cause
-GRACE_LEASES_MOST = 2.0
-# a machine gets direct commands ahead of its release once this share of the time until it is suspected has passed
-CONTACT_SHARE = 0.6
-# another controller should hold a shard, none of whose machines is in contact here, for so many of the workers' leases
-MARK_LEASES = 2.0
-
-# A holder that has had no report of so many machines for so many report intervals, in which each has reported once at
-# least, has lost its workers if they report to others; a report that is redirected to us is here within a moment.
+# the same if most machines of its shard are unresponsive, so that the network is the likely cause
+MAJORITY_GRACE_LEASES = 2.0
+# share of the time until a machine is suspected after which it gets direct commands, ahead of a release
+DIRECT_CONTACT_SHARE = 0.6
+# how long a shard without any contact here is marked unreachable, so that another controller takes it over, as a
+# multiple of the workers' lease
+UNREACHABLE_MARK_LEASES = 2.0
+
+# A shard's workers have lost contact to its holder alone if none of at least `MIN_MACHINES` machines has reported to it
+# for this many report intervals, in which each one reports at least once, while other controllers receive reports from
+# them. A report redirected to the holder arrives within `REDIRECT_S` seconds.
 MIN_MACHINES = 3
-QUIET_REPORTS = 1.25
+QUIET_REPORT_INTERVALS = 1.25
 REDIRECT_S = 0.5
 
 
 class UnresponsiveMachines:
-    """Checks one shard's machines for lost contact; only once a machine is released may its tasks start elsewhere."""
+    """Releases machines that have lost contact; their tasks may start elsewhere only after the release."""
 
     def __init__(
         self,
@@ -42,9 +44,9 @@
         suspect_after_s: float,
         send_commands: Callable[[set[str]], None],
     ) -> None:
-        """`suspect_after_s`: without contact for so long, a machine gets no new work.
+        """`suspect_after_s`: seconds without contact after which a machine gets no new work.
 
-        `send_commands` has direct commands sent to machines, whose answers show that they are alive.
+        `send_commands` sends direct commands to machines, whose answers show that they are alive.
         """
         self._settings = settings
         self._coordinator = coordinator
@@ -54,34 +56,34 @@
         self._evacuation = evacuation
         self._suspect_after_s = suspect_after_s
         self._send_commands = send_commands
-        # shard -> steady time since which its workers report to others and not to us
+        # shard -> monotonic time since which its workers report to other controllers and not to this one
         self._diverted_since: dict[str, float] = {}
 
-    def restart_observation(self) -> None:
-        """Forget which shards' workers report to others: we were paused or are behind, so no report was taken in."""
+    def reset_diversions(self) -> None:
+        """Forget which shards' workers report elsewhere: during a pause or a backlog, no report was processed here."""
         self._diverted_since.clear()
 
     def check(self, grant: ShardGrant, machines: list[Machine], now: float) -> None:
-        """Look after one shard of ours, whose machines that have reported to us are `machines`.
+        """Check a shard held here, of which `machines` have reported to this controller.
 
-        Marks the shard as unreachable from here if none of its machines is in contact, and releases machines that are
-        out of contact for too long. Raises InvalidMessageError for a response of the cloud that can't be read.
+        Marks the shard as unreachable from here if there is no contact to any of its machines, and releases machines
+        without contact for too long. Raises InvalidMessageError for an invalid response of the cloud.
         """
         unreported = self._unreported(grant, {machine.name for machine in machines})
         unresponsive = self._unresponsive(grant, machines, unreported, now)
-        # contacted directly before they are released: a worker may be on its way to us from a controller that died
+        # contact before a release: a worker may still be switching to this controller from one that died
         self._send_commands({machine.name for machine in machines if self._needs_contact(machine, now)})
         total = len(machines) + len(unreported)
         if self._settings.peers:
             is_unreachable = bool(unresponsive) and len(unresponsive) == total
             if is_unreachable or self._is_diverted(grant, machines, now):
-                self._coordinator.mark_unreachable(grant.shard, total, MARK_LEASES * self._settings.lease_s)
+                self._coordinator.mark_unreachable(grant.shard, total, UNREACHABLE_MARK_LEASES * self._settings.lease_s)
         self._release_overdue(grant.shard, unresponsive, total, now)
 
     def _unresponsive(
         self, grant: ShardGrant, machines: list[Machine], unreported: dict[str, float], now: float
     ) -> dict[str, float]:
-        """Machines out of contact, and the steady time of their last contact."""
+        """Return the machines without contact, and the monotonic time of their last contact."""
         unresponsive = {
             machine.name: since
             for machine in machines
@@ -90,7 +92,7 @@
         unresponsive.update({name: since for name, since in unreported.items() if now - since > self._suspect_after_s})
         until = self._evacuation.isolated_until(grant.shard)
         if until is not None and until > grant.held_since:
-            # all controllers have probed the zone and none has contact: we needn't wait any longer ourselves
+            # all controllers have probed the zone without contact, so there is no need to wait any longer
             no_report_here = {
                 machine.name: grant.held_since for machine in machines if machine.last_heartbeat <= grant.held_since
             }
@@ -98,7 +100,7 @@
         return unresponsive
 
     def _unreported(self, grant: ShardGrant, reported: set[str]) -> dict[str, float]:
-        """Machines with allocations that have never reported to us, and since when we hold their shard."""
+        """Return the machines with allocations that never reported here, and since when their shard is held here."""
         return {
             allocation.machine: grant.held_since
             for job in self._job_cache.live()
@@ -107,23 +109,23 @@
         }
 
     def _last_contact(self, machine: Machine, held_since: float) -> float:
-        """Steady time at which we last knew a machine to be alive.
+        """Return the monotonic time at which a machine was last known to be alive.
 
-        Answers to direct commands count for a lease at most, since a worker that reports to nobody loses its tasks all
-        the same.
+        Answers to direct commands extend the last report by one lease at most, since a worker that reports to no
+        controller loses its tasks all the same.
         """
         reported = max(machine.last_heartbeat, held_since)
         return max(reported, min(machine.last_direct_answer, reported + self._settings.lease_s))
 
     def _needs_contact(self, machine: Machine, now: float) -> bool:
         last_contact = max(machine.last_heartbeat, machine.last_direct_answer)
-        return now - last_contact > CONTACT_SHARE * self._suspect_after_s
+        return now - last_contact > DIRECT_CONTACT_SHARE * self._suspect_after_s
 
     def _is_diverted(self, grant: ShardGrant, machines: list[Machine], now: float) -> bool:
-        """Whether a shard's workers have lost contact to us alone: none reports here, and they report to others.
+        """Return whether a shard's workers have lost contact to this controller alone and report to others.
 
-        Without it such workers went back and forth, redirected to us by all other controllers, each time at the cost
-        of a time-out: by when each of them was suspected by itself, the leases of some ran out.
+        Without this check, all other controllers kept redirecting such workers here, each time at the cost of a
+        time-out, and the leases of some expired before each machine was suspected individually.
         """
         shard = grant.shard
         last_report = max((machine.last_heartbeat for machine in machines), default=grant.held_since)
@@ -131,14 +133,14 @@
             len(machines) < MIN_MACHINES
             or last_report <= grant.held_since
             or self._peer_exchange.last_report(shard) <= last_report
-            or now - last_report <= QUIET_REPORTS * self._settings.report_s
+            or now - last_report <= QUIET_REPORT_INTERVALS * self._settings.report_s
         ):
             self._diverted_since.pop(shard, None)
             return False
         return now - self._diverted_since.setdefault(shard, now) > REDIRECT_S
 
     def _release_overdue(self, shard: str, unresponsive: dict[str, float], total: int, now: float) -> None:
-        """Release unresponsive machines whose grace period is over; an isolated zone is evacuated instead."""
+        """Release unresponsive machines whose grace period is over, or evacuate the zone if it is isolated."""
         until = self._evacuation.isolated_until(shard)
         if until is not None and len(unresponsive) == total and until > min(unresponsive.values(), default=now):
             self._evacuation.evacuate(unresponsive, until, now)
@@ -147,15 +149,15 @@
         overdue = [
             name
             for name, since in unresponsive.items()
-            if now - since > (min(grace_s, self._settings.lease_s) if self._is_cancelled(name) else grace_s)
+            if now - since > (min(grace_s, self._settings.lease_s) if self._has_cancelled_work(name) else grace_s)
         ]
         if overdue:
-            self._releaser.release(self._evacuation.by_priority(overdue, now)[:MAX_NAMES])
+            self._releaser.release(self._evacuation.by_priority(overdue, now)[:MAX_MACHINES_PER_RELEASE])
 
     def _grace_s(self, shard: str, unresponsive: int, total: int) -> float:
-        # If most are unresponsive, the network is the likely cause and they may go on working on the other side.
-        is_few = 2 * unresponsive <= max(total, 2) or self._coordinator.is_unreachable_by_all(shard)
-        return self._settings.lease_s * (GRACE_LEASES if is_few else GRACE_LEASES_MOST)
+        # If most are unresponsive, the network is the likely cause, and they may go on working beyond the partition.
+        short_grace = 2 * unresponsive <= max(total, 2) or self._coordinator.is_unreachable_by_all(shard)
+        return self._settings.lease_s * (GRACE_LEASES if short_grace else MAJORITY_GRACE_LEASES)
 
-    def _is_cancelled(self, name: str) -> bool:
+    def _has_cancelled_work(self, name: str) -> bool:
         return has_cancelled_work(self._job_cache, name)
--- a/tidebend/controller/autoscaling/zone_evacuation.py
+++ b/tidebend/controller/autoscaling/zone_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuating an isolated zone: its machines are released in an order that loses the least."""
+"""Evacuating an isolated zone: its machines are released in an order that minimizes lost work."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 import time
 from collections.abc import Iterable
 
-from tidebend.autoscaling import WRONG_BY
+from tidebend.autoscaling import ESTIMATE_ERROR_FACTOR
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.machine_registry import MachineRegistry
 from tidebend.controller.autoscaling.cancelled_work import has_cancelled_work
-from tidebend.controller.autoscaling.machine_releaser import MAX_NAMES, MachineReleaser
+from tidebend.controller.autoscaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from tidebend.controller.autoscaling.machine_types import MachineTypes
 from tidebend.controller.scheduler.run_time_estimates import RunTimeEstimates
 from tidebend.coordination import Coordinator
 from tidebend.settings import Settings
 from tidebend.zone_failover import IsolationWindow, MachineContents, evacuation_order, machines_to_evacuate
 
-# an isolated zone's machines are released in turns that take no more than this share of the calls
+# an isolated zone's machines are released in steps that take no more than this share of the calls
 CALLS_SHARE = 0.25
-# replicas begin to move out this share of the time for which the isolated controller may act ahead of its end
+# replicas begin to move out this share of the staleness bound before the isolated controller must stop acting
 MOVE_AHEAD_SHARE = 0.25
 # The last answered report was sent up to this many report intervals before the isolated controller's last answer, and
-# a worker's lease counts from there.
+# a worker's lease counts from the report.
 REPORT_MARGIN = 1.25
 
 
 class ZoneEvacuation:
-    """Decides when machines of a zone are released whose controller may go on working without us."""
+    """Decides when to release machines of an isolated zone, whose controller may go on working."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         releaser: MachineReleaser,
         check_interval_s: float,
     ) -> None:
-        """`check_interval_s`: how often the caller checks its machines."""
+        """`check_interval_s`: seconds between the caller's checks of its machines."""
         self._settings = settings
         self._coordinator = coordinator
         self._job_cache = job_cache
@@ -48,14 +48,15 @@
         self._estimates = estimates
         self._machine_types = machine_types
         self._releaser = releaser
-        self._turn_s = max(check_interval_s, 1.0 / (CALLS_SHARE * settings.cloud_rps))
-        self._next_step_at = -math.inf  # steady time
+        self._step_s = max(check_interval_s, 1.0 / (CALLS_SHARE * settings.cloud_rps))
+        self._next_step_at = -math.inf  # monotonic time
 
     def isolated_until(self, shard: str) -> float | None:
-        """Until when (steady time) an isolated zone's controller may act at the latest; None if none does.
+        """Return the latest monotonic time until which an isolated zone's controller may act; None if none does.
 
-        A grant alone doesn't show it: a controller that was cut off before it learnt of its grant refuses its
-        workers' reports, and their tasks end with their leases. Its own last news says which shards it holds.
+        A grant alone doesn't prove that it acts: a controller that was cut off before it learnt of its grant refuses
+        its workers' reports, and their tasks end with their leases. The controller's own last frame or record says
+        which shards it holds.
         """
         isolated = self._coordinator.isolated_holder(shard)
         if isolated is None:
@@ -66,11 +67,11 @@
         return since + self._settings.staleness_bound_s
 
     def evacuate(self, unresponsive: dict[str, float], until: float, now: float) -> None:
-        """Release what is due of an isolated zone's machines.
+        """Release the machines of an isolated zone that are due.
 
-        `unresponsive`: machine -> steady time of its last contact; `until`: as `isolated_until` has it. The order and
-        the times are those of `zone_failover.machines_to_evacuate`. Raises InvalidMessageError for a response of the
-        cloud that can't be read.
+        `unresponsive`: machine -> monotonic time of its last contact; `until`: the result of `isolated_until`.
+        `zone_failover.machines_to_evacuate` defines the order and the times. Raises InvalidMessageError for an invalid
+        response of the cloud.
         """
         due = [
             name
@@ -78,11 +79,11 @@
             if now - since > self._settings.lease_s and has_cancelled_work(self._job_cache, name)
         ]
         if now >= self._next_step_at:
-            self._next_step_at = now + self._turn_s
+            self._next_step_at = now + self._step_s
             contents = [self._contents(name, now) for name in unresponsive]
-            due += machines_to_evacuate(contents, self._isolation_window(until), now, self._turn_s)
+            due += machines_to_evacuate(contents, self._isolation_window(until), now, self._step_s)
         if due:
-            self._releaser.release(list(dict.fromkeys(due))[:MAX_NAMES])
+            self._releaser.release(list(dict.fromkeys(due))[:MAX_MACHINES_PER_RELEASE])
 
     def _isolation_window(self, until: float) -> IsolationWindow:
         begin = until - MOVE_AHEAD_SHARE * self._settings.staleness_bound_s
@@ -90,12 +91,12 @@
         return IsolationWindow(begin, until, end)
 
     def by_priority(self, machines: Iterable[str], now: float) -> list[str]:
-        """Machines in the order in which they should be released: first those whose replicas are missed most."""
+        """Return machines in the order in which to release them: those with most replicas first."""
         contents = sorted((self._contents(name, now) for name in machines), key=evacuation_order)
-        return [row.machine for row in contents]
+        return [machine_contents.machine for machine_contents in contents]
 
     def _contents(self, name: str, now: float) -> MachineContents:
-        """What a machine holds: service replicas, and the steady times at which its batch tasks should end."""
+        """Return a machine's service replicas, and the monotonic times at which its batch tasks should end."""
         clock = time.time()
         replicas = 0
         completions = []
@@ -107,12 +108,12 @@
                 replicas += allocation.tasks.bit_count()
                 continue
             fetch_s = machine_type.fetch_s(job.spec.image_gb) if machine_type is not None else 0.0
-            run_s = WRONG_BY * self._estimates.corrected(job.spec)
+            run_s = ESTIMATE_ERROR_FACTOR * self._estimates.corrected(job.spec)
             completions.append(now - (clock - allocation.allocated_at) + fetch_s + run_s)
         return MachineContents(name, replicas, tuple(completions), self._gang_wait_s(name))
 
     def _gang_wait_s(self, name: str) -> float:
-        """How much longer a machine of gangs is waited for, by what others would take to boot and fetch the image."""
+        """Return how much longer to keep a gang's machine, by the time that a new one would take to replace it."""
         jobs = [job for job, _ in self._job_cache.on_machine(name)]
         if not jobs or any(job.spec.kind != "gang" for job in jobs):
             return 0.0
