--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -10,7 +10,7 @@
 from tidebend import protocol
 from tidebend.cluster_state.final_states import unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.controller.api.replies import RETRY_LATER, parse_body, unavailable_reply
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.controller.records.job_writer import JobWriter
@@ -144,10 +144,10 @@
         Final states don't change, so they are answered from the cache: a cancellation once it is sealed. Raises
         `NotExecutedError` or `OutcomeUnknownError`.
         """
-        if self._job_cache.final(job_id) is None:
+        if self._job_cache.final_state(job_id) is None:
             if not self._cache.loaded.is_set() or not self._cache.barrier(self._read_timeout_s):
                 raise NotExecutedError("no state read")
-            self._look_up_finals(self._job_cache.unresolved(job_id), "poll")
+            self._look_up_finals(self._job_cache.missing_final_states(job_id), "poll")
         self._cancellation_sealer.seal(job_id)
         answer = self._answer_from_cache(job_id)
         if answer is None:
@@ -160,13 +160,13 @@
 
     def _answer_from_cache(self, job_id: str) -> Reply | None:
         """Return what the cache knows of a job; None if it knows nothing. All answers about jobs are made here."""
-        final = self._job_cache.final(job_id)
+        final = self._job_cache.final_state(job_id)
         if final is not None:
             return Reply(200, protocol.job_answer(job_id, final))
         job = self._job_cache.get(job_id)
         if job is None:
             # the job may have ended between the two look-ups
-            final = self._job_cache.final(job_id)
+            final = self._job_cache.final_state(job_id)
             return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
@@ -246,14 +246,14 @@
             job = self._job_cache.get(job_id)
             if job is not None and job.spec.kind == "service":
                 return f"awaits: {job_id} is a service"
-            if job is None and self._job_cache.final(job_id) is None and self.find(job_id) is None:
+            if job is None and self._job_cache.final_state(job_id) is None and self.find(job_id) is None:
                 return f"awaits: {job_id} was never accepted"
         return None
 
     def _write_new(self, job: Job) -> Reply:
         """Write a new job's record if the job has no record of any form, and answer by what is recorded then."""
-        conditions = {JOB + job.id: 0, HEAD + job.id: 0, FINAL + job.id: 0}
-        if job.key != JOB + job.id:
+        conditions = {JOB_PREFIX + job.id: 0, HEAD_PREFIX + job.id: 0, FINAL + job.id: 0}
+        if job.key != JOB_PREFIX + job.id:
             conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
             self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_PATIENCE_S)
--- a/tidebend/controller/autoscaling/scale_in.py
+++ b/tidebend/controller/autoscaling/scale_in.py
@@ -7,7 +7,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.task_bitmap import members
+from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.controller.autoscaling.machine_releaser import MAX_MACHINES_PER_RELEASE, MachineReleaser
 from tidebend.controller.autoscaling.machine_types import MachineTypes
 from tidebend.settings import Settings
@@ -50,7 +50,7 @@
         surplus = []
         on_demand = [machine for machine in machines if not machine.spot and not machine.draining]
         for machine in [machine for machine in machines if self._is_idle(machine)]:
-            if machine.draining or machine.notice_at is not None:
+            if machine.draining or machine.reclaim_at is not None:
                 surplus.append(machine)
                 continue
             if machine.idle_since is None or now - machine.idle_since <= self._retention_s(machine):
@@ -64,7 +64,7 @@
 
     def _record_idle(self, machines: list[Machine], now: float) -> None:
         for machine in machines:
-            if self._job_cache.on_machine(machine.name):
+            if self._job_cache.allocations_on(machine.name):
                 machine.idle_since = None
             elif machine.idle_since is None:
                 machine.idle_since = now
@@ -73,7 +73,7 @@
         # ended tasks may still be listed on a machine, see `Machine.can_forget`
         return (
             machine.idle_since is not None
-            and not self._job_cache.on_machine(machine.name)
+            and not self._job_cache.allocations_on(machine.name)
             and all(task.state == "ended" for task in machine.tasks.values())
         )
 
@@ -92,7 +92,7 @@
             # prevents new allocations: the scheduler skips machines that are being released
             for machine in surplus:
                 machine.releasing = True
-        names = [machine.name for machine in surplus if not self._job_cache.on_machine(machine.name)][
+        names = [machine.name for machine in surplus if not self._job_cache.allocations_on(machine.name)][
             :MAX_MACHINES_PER_RELEASE
         ]
         if names and self._releaser.release(names):
@@ -109,7 +109,7 @@
                     self._evict_tasks(machine)
 
     def _evict_tasks(self, machine: Machine) -> None:
-        for job, allocation in self._job_cache.on_machine(machine.name):
-            for index in members(allocation.tasks):
+        for job, allocation in self._job_cache.allocations_on(machine.name):
+            for index in set_bits(allocation.tasks):
                 grace_s = EVICTION_GRACE_FACTOR * job.spec.save_s
                 machine.stop_requests.setdefault((job.id, index, allocation.attempt), grace_s)
--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -120,7 +120,7 @@
     ) -> Capacity:
         free: Amount = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         freed_later = []
-        for job, allocation in self._job_cache.on_machine(name):
+        for job, allocation in self._job_cache.allocations_on(name):
             amount = _times(need_of(job.spec), allocation.tasks.bit_count())
             free = _minus(free, amount)
             if job.spec.kind != "service":
@@ -139,7 +139,7 @@
         """Return the requests of waiting jobs, and of those that become ready by the time a new machine could be up."""
         requests = [
             request
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             if (request := self._pending_jobs.request(job, now, clock)) is not None
         ]
         return requests + self._pending_jobs.requests_soon_ready(now, clock)
--- a/tidebend/controller/autoscaling/unresponsive_machines.py
+++ b/tidebend/controller/autoscaling/unresponsive_machines.py
@@ -103,7 +103,7 @@
         """Return the machines with allocations that never reported here, and since when their shard is held here."""
         return {
             allocation.machine: grant.held_since
-            for job in self._job_cache.live()
+            for job in self._job_cache.live_jobs()
             for allocation in job.allocations
             if shard_of(allocation.zone) == grant.shard and allocation.machine not in reported
         }
