--- a/tidebend/controller/autoscaling/scale_out.py
+++ b/tidebend/controller/autoscaling/scale_out.py
@@ -72,11 +72,11 @@
         capacities = self._capacities(view.reporting, excluded, unreachable, now, clock)
         requests = self._requests(now, clock)
         offers = self._offers(unreachable, now)
-        per_zone: dict[str, int] = {}
+        machines_by_zone: dict[str, int] = {}
         for capacity in capacities:
-            per_zone[capacity.zone] = per_zone.get(capacity.zone, 0) + 1
+            machines_by_zone[capacity.zone] = machines_by_zone.get(capacity.zone, 0) + 1
         capacities.sort(key=lambda capacity: (capacity.ready_in, capacity.spot))
-        needed = plan_provisioning(requests, capacities, offers, now=clock, machines_by_zone=per_zone)
+        needed = plan_provisioning(requests, capacities, offers, now=clock, machines_by_zone=machines_by_zone)
         # Calls are few, and each one that finds no capacity uses up the budget: offers with the fewest shortages go
         # first, so that offers without capacity don't delay the others.
         for provision_request in sorted(
