--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -102,7 +102,7 @@
         """Record that the outcome of writes of these teams' allocations or quotas is unknown."""
         self._uncertain_teams.update((team, object()) for team in teams)
 
-    def settle_uncertain_writes(self, patience: float) -> None:
+    def settle_uncertain_writes(self, retry_for_s: float) -> None:
         """Make sure that no write of unknown outcome can still be executed, and read which ones were.
 
         A late allocation is bounded by its zone's quota alone, and a late write may lower a quota below an allocation
@@ -120,7 +120,7 @@
                     self.cache.write(
                         {QUOTA_PREFIX + team: quotas.version},
                         [(QUOTA_PREFIX + team, quotas.pack(), None)],
-                        retry_for_s=patience,
+                        retry_for_s=retry_for_s,
                     )
         if not self.cache.barrier(self.cache.client.timeout, "claim"):
             raise NotExecutedError("read barrier failed after a claim with unknown outcome")
