--- a/tidebend/protocol/__init__.py
+++ b/tidebend/protocol/__init__.py
@@ -1,9 +1,9 @@
-"""The wire's words and the domain's types: this is the only place where the two meet.
+"""Message formats, and their translation to and from the domain's types.
 
-`domain` holds the types. A controller reads and answers messages with `jobs` (users), `reports` (workers), `machines`
-(the cloud) and `state` (the state service). The other sides' readers and writers are `user`, `worker`, `cloud` and
-`store`; those are imported by whoever has that side, and not from here: most of them need `msgspec`, which `run` does
-without.
+Names on the wire differ from those in the code; only this package knows both. `domain` defines the types. A controller
+parses and builds its messages with `jobs` (users), `reports` (workers), `machines` (the cloud) and `state` (the
+key-value store). The other sides of these protocols use `user`, `worker`, `cloud` and `store`. These aren't imported
+here: most of them need `msgspec`, on which `run` must not depend.
 """
 
 from tidebend.protocol.domain import (
--- a/tidebend/protocol/cloud.py
+++ b/tidebend/protocol/cloud.py
@@ -1,6 +1,6 @@
-"""The cloud's side of its messages: rentals, releases, types of machines and lists of them.
+"""The cloud's side of the cloud protocol: rentals, releases, and lists of machines and machine types.
 
-`msgspec` checks requests and names the field that is wrong. Not imported by `run`, which has the other side.
+`msgspec` validates requests and names the invalid field. Controllers (`run`) don't import this module.
 """
 
 from __future__ import annotations
@@ -26,30 +26,30 @@
 
 
 class Rental(msgspec.Struct, frozen=True):
-    """A request for machines, as `machines.rental_request` builds it."""
+    """A request for machines, as built by `machines.rental_request`."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=200)] = msgspec.field(name="charter")  # idempotency key
-    kind: str = msgspec.field(name="hull")  # name of the machines' type
+    kind: str = msgspec.field(name="hull")  # machine type
     zone: str = msgspec.field(name="harbor")
     spot: bool = msgspec.field(name="driftwood")
     count: Annotated[int, msgspec.Meta(ge=1, le=50)] = msgspec.field(name="howMany")
 
 
 class Release(msgspec.Struct, frozen=True):
-    """A request to take machines back, by their names."""
+    """A request to release machines, by name."""
 
     machines: Annotated[list[str], msgspec.Meta(max_length=100)] = msgspec.field(name="fleet")
 
 
 def machines_answer(machines: list[str]) -> dict[str, Any]:
-    """The answer to a rental or a release: the machines that it concerns."""
+    """Return the answer to a rental or a release: the names of the machines rented or released."""
     return {"fleet": machines}
 
 
 def type_row(
     name: str, cpus: float, gpus: float, memory_gb: float, disk_gb: float, price: float, boot_s: float, zones: list[str]
 ) -> dict[str, Any]:
-    """A type of machine in `types_answer`. Spot machines cost the same; images are fetched at 1 GB a second."""
+    """Return a row of `types_answer`. The spot price equals the regular price; images are fetched at 1 GB/s."""
     return {
         "name": name,
         "vcpus": cpus,
@@ -65,12 +65,12 @@
 
 
 def types_answer(rows: list[dict[str, Any]]) -> dict[str, Any]:
-    """The answer that lists the types of machines."""
+    """Return the list of machine types."""
     return {"hulls": rows}
 
 
 def machine_row(name: str, address: str | None, kind: str, zone: str, state: str, age_s: float) -> dict[str, Any]:
-    """A machine as `machine_page` lists it; `address` is `HOST:PORT`."""
+    """Return a row of `machine_page`; `address` is `HOST:PORT`."""
     return {
         "id": name,
         "address": address,
@@ -83,5 +83,5 @@
 
 
 def machine_page(rows: list[dict[str, Any]], more: bool) -> dict[str, Any]:
-    """A page of the list of machines, and whether there are more after it."""
+    """Return a page of the list of machines; `more` says whether further pages follow."""
     return {"fleet": rows, "more": more}
--- a/tidebend/protocol/fields.py
+++ b/tidebend/protocol/fields.py
@@ -1,6 +1,6 @@
-"""Checked fields of messages from outside.
+"""Validation of fields in messages from other processes.
 
-Each reader takes a decoded JSON object and the name of a field, and returns the field's value or raises
+Each function takes a decoded JSON object and the name of a field, and returns the field's value or raises
 `InvalidMessageError`, whose text names the field.
 """
 
@@ -9,24 +9,24 @@
 import math
 from typing import Any
 
-MOST_TEXT_LENGTH = 200
-# Numbers beyond this are refused: they are no amounts, seconds or prices of ours.
-GREATEST_NUMBER = 1e12
-# Whole numbers up to this are exact as floats, as which some JSON writers send them.
-GREATEST_EXACT_FLOAT = 2**53
-# Counters on the wire are unsigned and have 64 bits.
-GREATEST_COUNTER = 2**64 - 1
+MAX_TEXT_LENGTH = 200
+# No valid amount, duration or price is larger.
+MAX_NUMBER = 1e12
+# Integers below this are exact as floats; some JSON encoders write integers as floats.
+MAX_EXACT_FLOAT = 2**53
+# Counters on the wire are unsigned 64-bit integers.
+MAX_COUNTER = 2**64 - 1
 PORTS = range(1, 65536)
 
 
 class InvalidMessageError(Exception):
-    """A message from outside is malformed; the text names the field."""
+    """A message from another process is invalid; the text names the field."""
 
 
 def number_field(
-    body: dict[str, Any], key: str, least: float = 0.0, default: float | None = None, above: bool = False
+    body: dict[str, Any], key: str, minimum: float = 0.0, default: float | None = None, exclusive: bool = False
 ) -> float:
-    """A finite number of at least `least`, or, with `above`, more than that; `default` where it is absent or null."""
+    """Return a finite number, at least `minimum` or, if `exclusive`, above it; `default` for absent or null."""
     value = body.get(key)
     if value is None and default is not None:
         return default
@@ -36,38 +36,38 @@
         value = float(value)
     except OverflowError:
         raise InvalidMessageError(f"{key} is too large") from None
-    if not math.isfinite(value) or value < least or (above and value <= least) or value > GREATEST_NUMBER:
-        raise InvalidMessageError(f"{key} is out of bounds")
+    if not math.isfinite(value) or value < minimum or (exclusive and value <= minimum) or value > MAX_NUMBER:
+        raise InvalidMessageError(f"{key} is out of range")
     return value
 
 
-def integer_field(body: dict[str, Any], key: str, least: int, most: int) -> int:
-    """An integer between two bounds, both included; a float without a fraction will do."""
+def integer_field(body: dict[str, Any], key: str, minimum: int, maximum: int) -> int:
+    """Return an integer from `minimum` to `maximum`, inclusive; a float without a fractional part is accepted."""
     value = body.get(key)
-    if isinstance(value, float) and value.is_integer() and abs(value) < GREATEST_EXACT_FLOAT:
+    if isinstance(value, float) and value.is_integer() and abs(value) < MAX_EXACT_FLOAT:
         value = int(value)
     if isinstance(value, bool) or not isinstance(value, int):
         raise InvalidMessageError(f"{key} must be an integer")
-    if not least <= value <= most:
-        raise InvalidMessageError(f"{key} is out of bounds")
+    if not minimum <= value <= maximum:
+        raise InvalidMessageError(f"{key} is out of range")
     return value
 
 
 def counter_field(body: dict[str, Any], key: str) -> int:
-    """An unsigned integer of 64 bits."""
-    return integer_field(body, key, 0, GREATEST_COUNTER)
+    """Return an unsigned 64-bit integer."""
+    return integer_field(body, key, 0, MAX_COUNTER)
 
 
 def text_field(body: dict[str, Any], key: str) -> str:
-    """A text that isn't empty, of at most `MOST_TEXT_LENGTH` characters."""
+    """Return a non-empty string of at most `MAX_TEXT_LENGTH` characters."""
     value = body.get(key)
-    if not isinstance(value, str) or not value or len(value) > MOST_TEXT_LENGTH:
-        raise InvalidMessageError(f"{key} must be a text")
+    if not isinstance(value, str) or not value or len(value) > MAX_TEXT_LENGTH:
+        raise InvalidMessageError(f"{key} must be a non-empty string within the length limit")
     return value
 
 
 def boolean_field(body: dict[str, Any], key: str) -> bool:
-    """True or false; nothing else stands for them."""
+    """Return a boolean; no other type is accepted."""
     value = body.get(key)
     if not isinstance(value, bool):
         raise InvalidMessageError(f"{key} must be true or false")
@@ -75,7 +75,7 @@
 
 
 def choice_field(body: dict[str, Any], key: str, choices: dict[str, str]) -> str:
-    """The domain's word for one of the wire's words: `choices` maps the one to the other."""
+    """Return the domain's value for a name on the wire; `choices` maps names to values."""
     value = body.get(key)
     if not isinstance(value, str) or value not in choices:
         raise InvalidMessageError(f"{key} must be one of {', '.join(choices)}")
@@ -83,7 +83,7 @@
 
 
 def parse_address(text: Any) -> tuple[str, int] | None:
-    """Host and port of `HOST:PORT`; None if it is anything else."""
+    """Return host and port of `HOST:PORT`; None for anything else."""
     if not isinstance(text, str):
         return None
     host, _, port = text.rpartition(":")
--- a/tidebend/protocol/jobs.py
+++ b/tidebend/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""The users' messages as a controller reads and answers them."""
+"""The controller's side of the user protocol: parses submissions and builds answers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     text_field,
 )
 
-# The wire's words for kinds of jobs and priorities, and the domain's.
+# Job kinds and priorities: name on the wire -> value in the domain.
 KIND_BY_WIRE_NAME = {"sweep": KIND_ARRAY, "group": KIND_GANG, "service": KIND_SERVICE}
 PRIORITY_BY_WIRE_NAME = {
     "critical": PRIORITY_PRODUCTION,
@@ -34,38 +34,38 @@
     "standard": PRIORITY_NORMAL,
     "best_effort": PRIORITY_LOW,
 }
-# The wire's words for states of a job, where they differ from the domain's.
+# Job states whose name on the wire differs from the domain's: domain -> wire.
 WIRE_JOB_STATES = {JOB_CANCELLED: "withdrawn"}
 
 JOB_ID_PATTERN = re.compile(r"req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}\Z")
 PATH_JOBS = "/api/jobs"
 PATH_READY = "/ready"
 
-MOST_TYPES = 100
-MOST_TYPE_LENGTH = 100
-MOST_ZONE_LENGTH = 200
+MAX_TYPES = 100
+MAX_TYPE_LENGTH = 100
+MAX_ZONE_LENGTH = 200
 
 
 def is_job_id(name: str) -> bool:
-    """Whether this has the form of a job's id."""
+    """Return whether a string has the format of a job id."""
     return bool(JOB_ID_PATTERN.match(name))
 
 
 def job_id(body: Any) -> str:
-    """The id in a submission. Raises InvalidMessageError."""
+    """Return the job id in a submission. Raises InvalidMessageError."""
     if not isinstance(body, dict):
-        raise InvalidMessageError("the body must be an object")
+        raise InvalidMessageError("the body must be a JSON object")
     name = body.get("id")
     if not isinstance(name, str) or not is_job_id(name):
-        raise InvalidMessageError("id is not a job id")
+        raise InvalidMessageError("id must be a valid job id")
     return name
 
 
 def _is_type_list(types: Any) -> bool:
     return (
         isinstance(types, list)
-        and 0 < len(types) <= MOST_TYPES
-        and all(isinstance(name, str) and 0 < len(name) <= MOST_TYPE_LENGTH for name in types)
+        and 0 < len(types) <= MAX_TYPES
+        and all(isinstance(name, str) and 0 < len(name) <= MAX_TYPE_LENGTH for name in types)
     )
 
 
@@ -74,19 +74,19 @@
     if types is None:
         return None
     if not _is_type_list(types):
-        raise InvalidMessageError("hulls must be null or a list of machine types")
+        raise InvalidMessageError("hulls must be null or a non-empty list of machine types")
     return tuple(types)
 
 
 def _zone(body: dict[str, Any]) -> str | None:
     zone = body.get("harbor")
-    if zone is not None and (not isinstance(zone, str) or not zone or len(zone) > MOST_ZONE_LENGTH):
-        raise InvalidMessageError("harbor must be null or a zone")
+    if zone is not None and (not isinstance(zone, str) or not zone or len(zone) > MAX_ZONE_LENGTH):
+        raise InvalidMessageError("harbor must be null or the name of a zone")
     return zone
 
 
 def parse_job(body: dict[str, Any]) -> JobSpec:
-    """The job in a submission. Raises InvalidMessageError, which names the first field that is wrong."""
+    """Return the specification in a submission. Raises InvalidMessageError, which names the first invalid field."""
     types = _types(body)
     zone = _zone(body)
     return JobSpec(
@@ -113,7 +113,10 @@
 
 
 def parse_dependencies(body: dict[str, Any]) -> tuple[str, ...]:
-    """The jobs that have to be done before any task of this one starts, each once. Raises InvalidMessageError."""
+    """Return the ids, without duplicates, of the jobs that must be done before this one starts.
+
+    Raises InvalidMessageError.
+    """
     rows = body.get("awaits")
     if rows is None:
         return ()
@@ -123,7 +126,7 @@
 
 
 def job_answer(name: str, state: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    """The answer that tells a job's state, and, where `done` is given, how many of its tasks are done and running."""
+    """Return the answer with a job's state and, if `done` is given, the numbers of done and running tasks."""
     answer: dict[str, Any] = {"id": name, "tide": WIRE_JOB_STATES.get(state, state)}
     if done is not None:
         answer["done"] = done
--- a/tidebend/protocol/machines.py
+++ b/tidebend/protocol/machines.py
@@ -1,4 +1,4 @@
-"""A controller's requests to the cloud, and what it reads in the answers."""
+"""The controller's side of the cloud protocol: builds requests and parses answers."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 PATH_RENT = "/machines"
 PATH_RELEASE = "/machines/release"
 
-# The wire's words for states of a machine, where they differ from the domain's.
+# Machine states whose name on the wire differs from the domain's: domain -> wire.
 WIRE_MACHINE_STATES = {MACHINE_BOOTING: "starting"}
-_MACHINE_STATES = {theirs: ours for ours, theirs in WIRE_MACHINE_STATES.items()}
+_STATE_BY_WIRE_NAME = {wire_name: state for state, wire_name in WIRE_MACHINE_STATES.items()}
 
 
 def _machine_type(row: dict[str, Any]) -> MachineType:
@@ -35,50 +35,53 @@
 
 
 def parse_types(body: Any) -> dict[str, MachineType]:
-    """The types of machines that the cloud rents out, by name. Raises InvalidMessageError."""
+    """Return the machine types that the cloud offers, by name. Raises InvalidMessageError."""
     if not isinstance(body, dict) or not isinstance(body.get("hulls"), list):
-        raise InvalidMessageError("hulls is missing")
+        raise InvalidMessageError("hulls must be a list")
     types = {}
     for row in body["hulls"]:
         if not isinstance(row, dict) or not isinstance(row.get("harbors") or [], list):
-            raise InvalidMessageError("hulls must hold objects")
+            raise InvalidMessageError("hulls must be a list of objects whose harbors are lists")
         machine_type = _machine_type(row)
         types[machine_type.name] = machine_type
     return types
 
 
 def rental_request(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """The body that rents `count` machines. `name` makes it idempotent: once it has rented any, it rents no more."""
+    """Return the body of a request for `count` machines.
+
+    `name` is its idempotency key: a request that has rented any machines rents no more when it is repeated.
+    """
     return {"charter": name, "hull": machine_type, "harbor": zone, "driftwood": spot, "howMany": count}
 
 
 def release_request(names: list[str]) -> dict[str, Any]:
-    """The body that gives machines back."""
+    """Return the body of a request that releases machines."""
     return {"fleet": names}
 
 
 def _rows(body: Any) -> list[Any]:
     rows = body.get("fleet") if isinstance(body, dict) else None
     if not isinstance(rows, list):
-        raise InvalidMessageError("fleet is missing")
+        raise InvalidMessageError("fleet must be a list")
     return rows
 
 
 def parse_rented(body: Any) -> list[str]:
-    """The names of the machines that were rented. Raises InvalidMessageError."""
+    """Return the names of the rented machines. Raises InvalidMessageError."""
     return [name for name in _rows(body) if isinstance(name, str)]
 
 
 def list_path(after: str, limit: int) -> str:
-    """The path of a page of the list of machines: at most `limit` of them, from after a name on."""
+    """Return the path of a page of the list of machines: at most `limit`, starting after the name `after`."""
     return f"/machines?from={quote(after)}&page={limit}"
 
 
 def _listed_machine(row: Any) -> ListedMachine:
     if not isinstance(row, dict):
-        raise InvalidMessageError("fleet must hold objects")
+        raise InvalidMessageError("fleet must be a list of objects")
     wire_state: Any = row.get("tide")
-    state = _MACHINE_STATES.get(wire_state, wire_state)
+    state = _STATE_BY_WIRE_NAME.get(wire_state, wire_state)
     return ListedMachine(
         name=text_field(row, "id"),
         address=parse_address(row.get("address")),
@@ -91,5 +94,5 @@
 
 
 def parse_machine_page(body: Any) -> tuple[list[ListedMachine], bool]:
-    """The machines of a page of the list, and whether there are more after it. Raises InvalidMessageError."""
+    """Return the machines of a page, and whether further pages follow. Raises InvalidMessageError."""
     return [_listed_machine(row) for row in _rows(body)], body.get("more") is True
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -1,4 +1,4 @@
-"""The workers' messages as a controller reads and answers them."""
+"""The controller's side of the worker protocol: parses reports and builds answers and commands."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 PATH_WORKER_STATUS = "/show"
 PATH_DIRECT = "/orders"
 
-# The domain's operations of a command, and the wire's words for them.
+# Operations of a command: domain -> name on the wire.
 WIRE_OPERATIONS = {COMMAND_START: "start", COMMAND_STOP: "kill", COMMAND_FORGET: "clear"}
 
-# A notice may lie in the past: the cloud was to take the machine back before the report came.
-LEAST_NOTICE_S = -1e9
+# A notice may lie in the past: the machine's reclaim time may pass before the report arrives.
+MIN_NOTICE_S = -1e9
 
 
 def _task(row: Any) -> TaskReport:
     if not isinstance(row, dict):
-        raise InvalidMessageError("pieces must hold objects")
+        raise InvalidMessageError("pieces must be a list of objects")
     job, _, index = text_field(row, "piece").rpartition("/")
     if not is_job_id(job) or not index.isascii() or not index.isdigit():
-        raise InvalidMessageError("piece is not a task")
+        raise InvalidMessageError("piece must be JOB/INDEX")
     state = row.get("tide")
     if state not in TASK_STATES:
-        raise InvalidMessageError("tide is not a task state")
+        raise InvalidMessageError("tide must be a task state")
     why = row.get("cause")
     return TaskReport(
         job=job,
@@ -62,19 +62,19 @@
         raise InvalidMessageError("pieces must be a list")
     tasks = tuple(_task(row) for row in rows)
     if len({(task.job, task.index, task.attempt) for task in tasks}) < len(tasks):
-        raise InvalidMessageError("pieces names a task's attempt twice")
+        raise InvalidMessageError("pieces must not list an attempt of a task twice")
     return tasks
 
 
 def parse_report(body: Any) -> Report:
-    """A worker's report. Raises InvalidMessageError, which names the first field that is wrong."""
+    """Return a worker's report. Raises InvalidMessageError, which names the first invalid field."""
     if not isinstance(body, dict):
-        raise InvalidMessageError("the body must be an object")
+        raise InvalidMessageError("the body must be a JSON object")
     tasks = _tasks(body)
     notice = body.get("warningS")
     machine = text_field(body, "vessel")
     if not MACHINE_NAME.match(machine):
-        raise InvalidMessageError("vessel is not a machine's name")
+        raise InvalidMessageError("vessel must be a valid machine name")
     return Report(
         machine=machine,
         address=parse_address(body.get("address")),
@@ -84,7 +84,7 @@
         session=counter_field(body, "watch"),
         sequence=counter_field(body, "tally"),
         token=counter_field(body, "helm"),
-        notice_s=None if notice is None else number_field(body, "warningS", LEAST_NOTICE_S),
+        notice_s=None if notice is None else number_field(body, "warningS", MIN_NOTICE_S),
         tasks=tasks,
     )
 
@@ -101,18 +101,18 @@
 
 
 def report_answer(token: int, commands: list[Command]) -> dict[str, Any]:
-    """The answer to a report from the machine's own controller: its fencing token, and commands."""
+    """Return the answer of the shard's holder to a report: its fencing token, and commands."""
     return {"helm": token, "orders": [_command(command) for command in commands]}
 
 
 def redirect_answer(controller: str | None) -> dict[str, Any]:
-    """The answer to a report that belongs to another controller; None where that one isn't known."""
+    """Return the answer to a report whose shard another controller holds; None: the holder is unknown."""
     return {"harbormaster": controller} if controller else {}
 
 
 def direct_commands(token: int, session: int, commands: list[Command]) -> tuple[str, dict[str, Any]]:
-    """Path and body of commands that a worker is sent without waiting for its next report.
+    """Return path and body of a request that sends commands without waiting for the worker's next report.
 
-    A worker refuses those with a lower fencing token than it has seen, or for another session than its own.
+    A worker rejects commands with a lower fencing token than it has seen, and those for another session.
     """
     return PATH_DIRECT, {"helm": token, "watch": session, "orders": [_command(command) for command in commands]}
--- a/tidebend/protocol/user.py
+++ b/tidebend/protocol/user.py
@@ -1,4 +1,4 @@
-"""The users' side of their messages: a job as it is submitted, and the words of its states."""
+"""The client's side of the user protocol: builds submissions and parses job states."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 __all__ = ["PATH_JOBS", "is_final_state", "job_request", "job_state"]
 
-_SHAPES = {ours: theirs for theirs, ours in KIND_BY_WIRE_NAME.items()}
-_RANKS = {ours: theirs for theirs, ours in PRIORITY_BY_WIRE_NAME.items()}
-_JOB_STATES = {theirs: ours for ours, theirs in WIRE_JOB_STATES.items()}
+_WIRE_KINDS = {kind: wire_name for wire_name, kind in KIND_BY_WIRE_NAME.items()}
+_WIRE_PRIORITIES = {priority: wire_name for wire_name, priority in PRIORITY_BY_WIRE_NAME.items()}
+_STATE_BY_WIRE_NAME = {wire_name: state for state, wire_name in WIRE_JOB_STATES.items()}
 
 
 def job_request(name: str, spec: JobSpec, awaits: tuple[str, ...] = ()) -> dict[str, Any]:
-    """The body that submits a job."""
+    """Return the body that submits a job; `awaits` lists the jobs that it depends on."""
     body = {
         "id": name,
         "tier": spec.job_class,
         "crew": spec.team,
-        "shape": _SHAPES[spec.kind],
-        "rank": _RANKS[spec.priority],
+        "shape": _WIRE_KINDS[spec.kind],
+        "rank": _WIRE_PRIORITIES[spec.priority],
         "pieces": spec.tasks,
         "vcpus": spec.cpus,
         "accelerators": spec.gpus,
@@ -44,11 +44,11 @@
 
 
 def job_state(body: dict[str, Any]) -> str:
-    """The job's state in an answer: queued, running, done or cancelled."""
-    word = str(body.get("tide"))
-    return _JOB_STATES.get(word, word)
+    """Return the job's state in an answer: queued, running, done or cancelled."""
+    wire_state = str(body.get("tide"))
+    return _STATE_BY_WIRE_NAME.get(wire_state, wire_state)
 
 
-def is_final_state(name: str) -> bool:
-    """Whether a job in this state stays in it."""
-    return name in (JOB_DONE, JOB_CANCELLED)
+def is_final_state(state: str) -> bool:
+    """Return whether a job never leaves this state."""
+    return state in (JOB_DONE, JOB_CANCELLED)
--- a/tidebend/protocol/worker.py
+++ b/tidebend/protocol/worker.py
@@ -1,6 +1,6 @@
-"""The workers' side of their messages: reports out, commands in.
+"""The worker's side of the worker protocol: builds reports and parses answers and commands.
 
-`msgspec` checks and names the field that is wrong. Not imported by `run`, which has the other side.
+`msgspec` validates messages and names the invalid field. Controllers (`run`) don't import this module.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from tidebend.protocol.domain import Command, task_name
 from tidebend.protocol.reports import PATH_DIRECT, PATH_REPORT, PATH_WORKER_STATUS, WIRE_OPERATIONS
 
-# The status of an answer that names another controller.
+# HTTP status 421 (Misdirected Request): another controller holds the machine's shard.
 STATUS_MISDIRECTED = 421
 
 __all__ = [
@@ -32,10 +32,10 @@
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
-_OPERATIONS = {theirs: ours for ours, theirs in WIRE_OPERATIONS.items()}
+_OPERATION_BY_WIRE_NAME = {wire_name: operation for operation, wire_name in WIRE_OPERATIONS.items()}
 
 
-class _Order(msgspec.Struct, frozen=True):
+class _WireCommand(msgspec.Struct, frozen=True):
     op: Literal["start", "kill", "clear"] = msgspec.field(name="order")
     task: Annotated[str, msgspec.Meta(pattern=r"^req-[A-Za-z0-9][A-Za-z0-9_.\-]{0,150}/[0-9]{1,6}$")] = msgspec.field(
         name="piece"
@@ -43,43 +43,43 @@
     attempt: Count = msgspec.field(name="launch")
     grace_s: Annotated[float, msgspec.Meta(ge=0)] = msgspec.field(name="slackS", default=0.0)
 
-    def command(self) -> Command:
+    def to_command(self) -> Command:
         job, _, index = self.task.rpartition("/")
-        return Command(_OPERATIONS[self.op], job, int(index), self.attempt, self.grace_s)
+        return Command(_OPERATION_BY_WIRE_NAME[self.op], job, int(index), self.attempt, self.grace_s)
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _WireReportAnswer(msgspec.Struct, frozen=True):
     token: Count | None = msgspec.field(name="helm", default=None)
-    orders: list[_Order] = msgspec.field(default_factory=list)
+    orders: list[_WireCommand] = msgspec.field(default_factory=list)
 
 
-class _Direct(msgspec.Struct, frozen=True):
+class _WireDirectCommands(msgspec.Struct, frozen=True):
     token: Count = msgspec.field(name="helm")
     session: Count = msgspec.field(name="watch")
-    orders: list[_Order] = msgspec.field(default_factory=list)
+    orders: list[_WireCommand] = msgspec.field(default_factory=list)
 
 
-class _Elsewhere(msgspec.Struct, frozen=True):
+class _WireRedirect(msgspec.Struct, frozen=True):
     controller: str | None = msgspec.field(name="harbormaster", default=None)
 
 
 class ReportAnswer(msgspec.Struct, frozen=True):
-    """What a report is answered with; without a token it has to be dropped."""
+    """A controller's answer to a report; the worker ignores one without a token."""
 
     token: int | None  # the controller's fencing token
     commands: list[Command]
 
 
 class DirectCommands(msgspec.Struct, frozen=True):
-    """Commands that a controller sends without waiting for a report."""
+    """Commands that a controller sends without waiting for the next report."""
 
     token: int  # the controller's fencing token
-    session: int  # the worker's session that they are for
+    session: int  # session of the worker for which they are meant
     commands: list[Command]
 
 
 class Task(msgspec.Struct, frozen=True):
-    """An attempt of a task as a report shows it; the fields are those of `TaskReport`."""
+    """An attempt of a task as it is reported; the fields are those of `TaskReport`."""
 
     job: str
     index: int
@@ -89,7 +89,7 @@
     saved: bool = False
 
     def row(self) -> dict[str, Any]:
-        """The task in a report's body."""
+        """Return the attempt as it appears in a report's body."""
         row: dict[str, Any] = {"piece": task_name(self.job, self.index), "launch": self.attempt, "tide": self.state}
         if self.why is not None:
             row["cause"] = self.why
@@ -99,21 +99,21 @@
 
 
 def parse_report_answer(body: Any) -> ReportAnswer:
-    """The answer to a report. Raises msgspec.ValidationError, which names the field."""
-    answer = msgspec.convert(body, _Answer, strict=False)
-    return ReportAnswer(answer.token, [order.command() for order in answer.orders])
+    """Return the parsed answer to a report. Raises msgspec.ValidationError, which names the field."""
+    answer = msgspec.convert(body, _WireReportAnswer, strict=False)
+    return ReportAnswer(answer.token, [order.to_command() for order in answer.orders])
 
 
 def parse_direct_commands(body: Any) -> DirectCommands:
-    """Direct commands. Raises msgspec.ValidationError, which names the field."""
-    direct = msgspec.convert(body, _Direct, strict=False)
-    return DirectCommands(direct.token, direct.session, [order.command() for order in direct.orders])
+    """Return parsed direct commands. Raises msgspec.ValidationError, which names the field."""
+    direct = msgspec.convert(body, _WireDirectCommands, strict=False)
+    return DirectCommands(direct.token, direct.session, [order.to_command() for order in direct.orders])
 
 
 def parse_redirect(body: Any) -> str | None:
-    """The controller that a 421 names, if it names one."""
+    """Return the controller named in an answer with status 421; None if it names none."""
     try:
-        return msgspec.convert(body, _Elsewhere).controller
+        return msgspec.convert(body, _WireRedirect).controller
     except msgspec.ValidationError:
         return None
 
@@ -130,7 +130,7 @@
     notice_s: float | None,
     tasks: list[Task],
 ) -> dict[str, Any]:
-    """The body of a report; the arguments are the fields of `Report`, with `address` as `HOST:PORT`."""
+    """Return the body of a report; the arguments are the fields of `Report`, with `address` as `HOST:PORT`."""
     return {
         "vessel": machine,
         "address": address,
