--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Which requests reach a handler, and how often the log tells of refusals."""
+"""Routing of requests to handlers, and the rate limit of log messages about 503s."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
     ],
 )
 def test_a_request_without_a_body_is_answered_by_method_and_path(controller, method, path, status, error):
-    def unread() -> bytes:
+    def fail_on_read() -> bytes:
         raise AssertionError("the body was read")
 
-    reply = controller.route(method, path, unread)
+    reply = controller.route(method, path, fail_on_read)
     assert reply.status == status
     assert error is None or reply.body == {"error": error}
     assert reply.close_if_crowded == path.startswith("/v1/report")
--- a/tidebend/controller/api/__init__.py
+++ b/tidebend/controller/api/__init__.py
@@ -1,1 +1,1 @@
-"""What users ask of a controller over HTTP."""
+"""A controller's HTTP API."""
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -1,4 +1,4 @@
-"""The users' API: submitting, polling and cancelling jobs."""
+"""The users' API: submission, polling and cancellation of jobs."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
 
 log = logging.getLogger("api")
 
-# the longest wait for a read of the state service, in seconds: users wait 2 s for the answer to a poll
-MAX_READ_S = 1.2
-# the time in seconds for which the write of a submission is repeated
-SUBMIT_PATIENCE_S = 0.3
-# the ids of a job's dependencies take at most this share of its record
-DEPENDENCIES_SHARE = 0.35
-# the states of a job, as users are told them, that never change
+# upper bound of the timeout of a read from the key-value store; users wait 2 s for the answer to a poll
+MAX_READ_TIMEOUT_S = 1.2
+# time for which the write of a submission is retried
+SUBMIT_RETRY_S = 0.3
+# limit on the size of the list of dependencies, as a fraction of the maximum size of a record
+MAX_DEPENDENCIES_SHARE = 0.35
+# final states of a job, as named on the wire
 FINAL_STATES = ("done", "withdrawn")
 
 
-class SubmissionRefusedError(Exception):
-    """A submission is invalid or can never be carried out."""
+class SubmissionRejectedError(Exception):
+    """The submission is invalid, or the job could never run."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """`status` is the HTTP status, `reason` the error that the user is told."""
+        """`status` is the HTTP status of the answer, `reason` its error text."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
@@ -56,14 +56,14 @@
 class JobApi:
     """Answers users' requests about jobs.
 
-    An answer reflects a read of the state service that was begun after the request was received, so that it is never
-    older than what any controller has answered before.
+    An answer reflects a read of the key-value store that began after the request was received, so it is never older
+    than any earlier answer of any controller.
     """
 
     def __init__(
         self,
         settings: Settings,
-        state: KeyValueClient,
+        kv_client: KeyValueClient,
         cache: WatchCache,
         job_cache: JobCache,
         job_writer: JobWriter,
@@ -73,9 +73,9 @@
         wake_scheduler: Callable[[], None],
         look_up_finals: Callable[[list[str], str], None],
     ) -> None:
-        """`machine_types` returns the types known so far, by name; for `look_up_finals` see `FinalRecordLookup`."""
+        """`machine_types` returns the types known so far, by name; `look_up_finals` is `FinalRecordLookup.look_up`."""
         self.settings = settings
-        self._state = state
+        self._kv_client = kv_client
         self._cache = cache
         self._job_cache = job_cache
         self._job_writer = job_writer
@@ -84,15 +84,15 @@
         self._machine_types = machine_types
         self._wake_scheduler = wake_scheduler
         self._look_up_finals = look_up_finals
-        self._read_timeout_s = min(MAX_READ_S, 2 * state.timeout)
+        self._read_timeout_s = min(MAX_READ_TIMEOUT_S, 2 * kv_client.timeout)
 
     # Requests
 
     def submit(self, raw: bytes) -> Reply:
         """Accept a job: 201 if it is new, 200 with its state if it was accepted before.
 
-        400 and 422 refuse it for good. 429 and 503 don't tell whether it was accepted: the user repeats the request.
-        Raises `BadRequestError` if the body isn't JSON.
+        400 and 422 reject it permanently. After 429 and 503 it is unknown whether the job was accepted, and the user
+        has to retry. Raises `BadRequestError` if the body isn't JSON.
         """
         received_at = time.time()
         body = parse_body(raw)
@@ -105,19 +105,19 @@
         except OverBudgetError:
             return Reply(429, {"error": "too many requests"}, RETRY_LATER)
         except (NotExecutedError, OutcomeUnknownError, LeaseNotFoundError):
-            return unavailable_reply("the state service can't be reached")
+            return unavailable_reply("the key-value store can't be reached")
 
     def poll(self, job_id: str) -> Reply:
-        """Return the job's state, with the numbers of done and running tasks as long as they are known."""
+        """Return the job's state, with the numbers of done and running tasks if they are known."""
         if not protocol.is_job_id(job_id):
             return _no_such_job()
         try:
             return self.find(job_id) or _no_such_job()
         except (NotExecutedError, OutcomeUnknownError):
-            return unavailable_reply("the state service can't be reached")
+            return unavailable_reply("the key-value store can't be reached")
 
     def cancel(self, job_id: str) -> Reply:
-        """Cancel a job that isn't over; 200 with its final state, which a repeated request doesn't change."""
+        """Cancel a job unless it has ended; 200 with its final state. Idempotent."""
         if not protocol.is_job_id(job_id):
             return _no_such_job()
         try:
@@ -129,29 +129,29 @@
             self._job_writer.change(job_id, _cancelled_unless_done, conditions={})
             answer = self.find(job_id)
             if answer is not None and _is_final(answer):
-                log.info("job %s: %s, as of revision %d", job_id, answer.body["tide"], self._cache.revision)
+                log.info("job %s is %s as of revision %d", job_id, answer.body["tide"], self._cache.revision)
                 self._wake_scheduler()
                 return answer
-            return unavailable_reply("try again")
+            return unavailable_reply("the request wasn't completed; try again")
         except (NotExecutedError, OutcomeUnknownError):
-            return unavailable_reply("the state service can't be reached")
+            return unavailable_reply("the key-value store can't be reached")
 
-    # Reading a job's state
+    # Reads of a job's state
 
     def find(self, job_id: str) -> Reply | None:
-        """Return the job's state by a read begun after this call; None if it was never accepted.
+        """Return the job's state as of a read that began after this call; None if the job was never accepted.
 
-        Final states don't change, so they are answered from the cache: a cancellation once it is sealed. Raises
-        `NotExecutedError` or `OutcomeUnknownError`.
+        Final states never change, so they are answered from the cache; a cancellation becomes final once it is sealed.
+        Raises `NotExecutedError` or `OutcomeUnknownError`.
         """
         if self._job_cache.final(job_id) is None:
             if not self._cache.loaded.is_set() or not self._cache.barrier(self._read_timeout_s):
-                raise NotExecutedError("no state read")
+                raise NotExecutedError("no read of the key-value store completed in time")
             self._look_up_finals(self._job_cache.unresolved(job_id), "poll")
         self._cancellation_sealer.seal(job_id)
         answer = self._answer_from_cache(job_id)
         if answer is None:
-            value, _ = self._state.get(FINAL + job_id)
+            value, _ = self._kv_client.get(FINAL + job_id)
             if value is None:
                 return None
             self._job_cache.remember_final(job_id, value)
@@ -159,13 +159,13 @@
         return answer
 
     def _answer_from_cache(self, job_id: str) -> Reply | None:
-        """Return what the cache knows of a job; None if it knows nothing. All answers about jobs are made here."""
+        """Return the job's state as cached; None if the cache has neither the job nor its final state."""
         final = self._job_cache.final(job_id)
         if final is not None:
             return Reply(200, protocol.job_answer(job_id, final))
         job = self._job_cache.get(job_id)
         if job is None:
-            # the job may have ended between the two look-ups
+            # the job may have ended between the two lookups
             final = self._job_cache.final(job_id)
             return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
@@ -174,10 +174,10 @@
         state = "running" if running else "queued"
         return Reply(200, protocol.job_answer(job.id, state, job.done.bit_count(), running))
 
-    # The steps of a submission
+    # Submission
 
     def _submit(self, job_id: str, body: Any, received_at: float) -> Reply:
-        """Answer a submission; raises the errors of the state service's client."""
+        """Answer a submission. Propagates the errors of the key-value client."""
         if self._answer_from_cache(job_id):
             answer = self.find(job_id)
             if answer is not None:
@@ -189,9 +189,9 @@
                 return unavailable_reply(not_ready)
             job = self._job_writer.record_limits.in_recorded_form(job)
             self._check(job)
-        except SubmissionRefusedError as refusal:
-            # what was accepted once is never refused, whatever the repeated body says and whatever is known by now
-            return self.find(job_id) or Reply(refusal.status, {"error": refusal.reason})
+        except SubmissionRejectedError as rejection:
+            # a job accepted earlier is never rejected, whatever the repeated body says and whatever has changed since
+            return self.find(job_id) or Reply(rejection.status, {"error": rejection.reason})
         return self._write_new(job)
 
     @staticmethod
@@ -199,33 +199,33 @@
         try:
             spec, dependencies = protocol.parse_job(body), protocol.parse_dependencies(body)
         except InvalidMessageError as error:
-            raise SubmissionRefusedError(400, str(error)) from error
+            raise SubmissionRejectedError(400, str(error)) from error
         return Job(job_id, 0, spec, received_at, dependencies=dependencies)
 
     def _reason_not_ready(self, job: Job) -> str | None:
-        """Return why this controller can't decide on the job yet; None if it can."""
+        """Return why this controller can't decide about the job yet; None if it can."""
         if not self._machine_types() or not self._cache.loaded.is_set():
-            return "not ready to decide"
+            return "the machine types or the records haven't been read yet"
         if job.dependencies and not self._schema_version.pipelines:
-            # a controller of the version before pipelines would start the job at once
-            return "not all controllers know pipelines yet"
+            # a controller of the version before pipelines would ignore the dependencies and start the job
+            return "not all controllers support dependencies (awaits) yet"
         return None
 
     def _check(self, job: Job) -> None:
-        """Raise `SubmissionRefusedError` if a job can never be recorded or run."""
+        """Raise `SubmissionRejectedError` if the job could never be recorded or run."""
         limits = self._job_writer.record_limits
-        if job.dependencies and packed_bytes(job.dependencies) > DEPENDENCIES_SHARE * limits.max_value_bytes:
-            raise SubmissionRefusedError(400, "awaits names more jobs than a record holds")
+        if job.dependencies and packed_bytes(job.dependencies) > MAX_DEPENDENCIES_SHARE * limits.max_value_bytes:
+            raise SubmissionRejectedError(400, "awaits: too many jobs for a record")
         reason = (
             self._reason_never_runs(job.spec)
             or (limits.reason_never_fits(job) if self._schema_version.pipelines else None)
             or self._reason_never_unblocked(job.dependencies)
         )
         if reason:
-            raise SubmissionRefusedError(422, reason)
+            raise SubmissionRejectedError(422, reason)
 
     def _reason_never_runs(self, spec: JobSpec) -> str | None:
-        """Return why no task of a job can ever run; None if they can."""
+        """Return why no task of the job could ever run; None if they could."""
         team = self.settings.teams.get(spec.team)
         if team is None:
             return "crew: unknown team"
@@ -233,14 +233,14 @@
             return "no allowed machine type fits a task"
         tasks = 1 if spec.kind == "array" else spec.tasks
         if not team.allows(spec.cpus * tasks, spec.gpus * tasks):
-            return "more than the team's limit"
+            return "the job needs more than the team's limit"
         return None
 
     def _reason_never_unblocked(self, dependencies: tuple[str, ...]) -> str | None:
         """Return why the job's dependencies will never all be done; None if they may be.
 
-        That a dependency was accepted holds for ever and may come from the cache; that it wasn't takes a read begun
-        after the request was received.
+        The cache is enough to show that a dependency was accepted, since that never changes; to show that it wasn't
+        takes a read that began after the request was received.
         """
         for job_id in dependencies:
             job = self._job_cache.get(job_id)
@@ -251,26 +251,26 @@
         return None
 
     def _write_new(self, job: Job) -> Reply:
-        """Write a new job's record if the job has no record of any form, and answer by what is recorded then."""
+        """Write the job's record unless a record of any form exists, and answer with the job's recorded state."""
         conditions = {JOB + job.id: 0, HEAD + job.id: 0, FINAL + job.id: 0}
         if job.key != JOB + job.id:
             conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
-            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_PATIENCE_S)
+            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_RETRY_S)
         except ConflictError:
-            return self.find(job.id) or unavailable_reply("try again")
+            return self.find(job.id) or unavailable_reply("the request wasn't completed; try again")
         except OutcomeUnknownError:
-            return self.find(job.id) or unavailable_reply("the state service didn't answer")
+            return self.find(job.id) or unavailable_reply("the key-value store didn't answer")
         self._wake_scheduler()
-        # by now another request may have cancelled it, or it may be over
+        # by now another request may have cancelled the job, or it may have ended
         answer = self._answer_from_cache(job.id)
         if answer is None or _is_final(answer):
             answer = self.find(job.id)
-        return Reply(201, answer.body) if answer else unavailable_reply("try again")
+        return Reply(201, answer.body) if answer else unavailable_reply("the request wasn't completed; try again")
 
 
 def _cancelled_unless_done(job: Job, _: TeamUsage) -> Job | None:
-    """Return the job with its cancellation, or None if it has been done before."""
+    """Return the cancelled job; None if it was done before."""
     return None if job.complete and not job.cancelled else job.with_cancellation()
 
 
@@ -279,5 +279,5 @@
 
 
 def _is_final(answer: Reply) -> bool:
-    """Whether an answer says that the job is over."""
+    """Return whether an answer has a final state."""
     return answer.body["tide"] in FINAL_STATES
--- a/tidebend/controller/api/router.py
+++ b/tidebend/controller/api/router.py
@@ -1,4 +1,4 @@
-"""Assigns requests over HTTP to their handlers by method and path."""
+"""Routing of HTTP requests to their handlers by method and path."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Endpoint:
-    """A path's handler, and the methods that it takes; other methods are answered with 405."""
+    """The handler of a path and the methods that it accepts; others are answered with 405."""
 
     methods: tuple[str, ...]
     handle: Callable[[ReadBody], Reply]
@@ -31,39 +31,38 @@
 
 
 class Router:
-    """Answers the workers' heartbeats, the load balancer's probes and the users' requests."""
+    """Routes workers' heartbeats, the load balancer's readiness probes and users' requests."""
 
     def __init__(self, readiness: Readiness, job_api: JobApi, handle_heartbeat: Callable[[bytes], Reply]) -> None:
-        """`handle_heartbeat` gets the body of a worker's heartbeat."""
+        """`handle_heartbeat` is called with the body of a worker's heartbeat."""
         self._readiness = readiness
         self._job_api = job_api
         self._heartbeats = Endpoint(("POST",), lambda read_body: handle_heartbeat(read_body()))
-        self._probes = Endpoint(("GET", "HEAD"), lambda _: self._probe())
+        self._readiness_probes = Endpoint(("GET", "HEAD"), lambda _: self._probe())
 
     def route(self, method: str, path: str, read_body: ReadBody) -> Reply:
-        """Answer a request; raises what reading or parsing its body raises.
+        """Answer a request. Propagates the errors of reading and parsing its body.
 
-        Requests but for heartbeats wait for the first read of the state service if that is under way.
+        Requests other than heartbeats wait for the first read of the key-value store after a start.
         """
         path = path.partition("?")[0]
         if path == protocol.PATH_REPORT:
             reply = self._heartbeats.call(method, read_body)
-            reply.close_if_crowded = (
-                True  # a worker connects again for its next heartbeat; a user would have to repeat a request
-            )
+            # a worker reconnects for its next heartbeat; a user would have to repeat a request
+            reply.close_if_crowded = True
             return reply
         self._readiness.wait_for_first_read()
         if path == protocol.PATH_READY:
-            return self._probes.call(method, read_body)
-        endpoint = self._users_endpoint(path)
+            return self._readiness_probes.call(method, read_body)
+        endpoint = self._user_endpoint(path)
         reply = Reply(404, {"error": "no such path"}) if endpoint is None else endpoint.call(method, read_body)
-        # If only this controller is out of touch, its users have to connect again to be sent to another: on the same
-        # connection they stay here until the load balancer notices, which takes it several seconds.
+        # If only this controller has lost contact with the store, its users have to reconnect to reach another one. The
+        # load balancer takes several seconds to notice, and open connections stay with this controller until then.
         reply.close_connection = reply.status == 503 and not self._readiness.is_ready()
         return reply
 
-    def _users_endpoint(self, path: str) -> Endpoint | None:
-        """Return the endpoint of a path of the users' API; None if there is none."""
+    def _user_endpoint(self, path: str) -> Endpoint | None:
+        """Return the endpoint of a path of the users' API; None if the path is unknown."""
         if path == protocol.PATH_JOBS:
             return Endpoint(("POST",), lambda read_body: self._job_api.submit(read_body()))
         if not path.startswith(JOBS_PREFIX):
@@ -76,7 +75,7 @@
         return None
 
     def _cancel(self, job_id: str, read_body: ReadBody) -> Reply:
-        read_body()  # it has no meaning, but must be read before the connection's next request
+        read_body()  # ignored, but it has to be read before the connection's next request
         return self._job_api.cancel(job_id)
 
     def _probe(self) -> Reply:
