--- a/tidebend/controller/workers/__init__.py
+++ b/tidebend/controller/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Traffic between a controller and its workers: heartbeats, direct commands and probes."""
+"""Communication between a controller and workers: heartbeats, direct commands and probes."""
--- a/tidebend/controller/workers/command_dispatcher.py
+++ b/tidebend/controller/workers/command_dispatcher.py
@@ -1,4 +1,4 @@
-"""Direct commands: starts and stops reach a worker at once, not only in the answer to its next report."""
+"""Direct commands: starts and stops sent to a worker without waiting for its next report."""
 
 from __future__ import annotations
 
@@ -27,15 +27,14 @@
 
 log = logging.getLogger("workers")
 
-# threads for machines that are in contact
-RESPONSIVE_THREADS = 3
-# a machine counts as unresponsive once its last contact is so many report intervals ago
+RESPONSIVE_THREADS = 3  # threads that send to responsive machines
+# time since a machine's last contact after which it counts as unresponsive, as a multiple of the report interval
 UNRESPONSIVE_REPORTS = 2.0
 MAX_TIMEOUT_S = 2.0
 
 
 class CommandTarget(NamedTuple):
-    """A worker to which commands are to be sent."""
+    """A worker that commands are to be sent to."""
 
     machine: str
     zone: str
@@ -44,7 +43,7 @@
 
 
 class _Request(NamedTuple):
-    """Commands for a worker, under the token with which they are sent."""
+    """Commands for a worker, with the fencing token to send."""
 
     token: int
     session: int
@@ -52,12 +51,12 @@
 
     @property
     def starts(self) -> set[tuple[str, int, int]]:
-        """Job, index and attempt of each task that is to start."""
+        """Job, index and attempt of each task to be started."""
         return {(command.job, command.index, command.attempt) for command in self.commands if command.op == "start"}
 
 
 class CommandDispatcher:
-    """Sends commands to workers on threads of its own; each machine waits in a queue once at most."""
+    """Sends commands to workers on its own threads; each machine is queued at most once."""
 
     def __init__(
         self,
@@ -69,7 +68,7 @@
         wake_scheduler: Callable[[], None],
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        """`wake_scheduler` is called when an answer has brought a machine's latest report."""
+        """`wake_scheduler` is called when an answer contains a newer report of the machine."""
         self._settings = settings
         self._job_cache = job_cache
         self._machine_registry = machine_registry
@@ -77,12 +76,12 @@
         self._peer_exchange = peer_exchange
         self._wake_scheduler = wake_scheduler
         self._connect = connect
-        # Two queues, so that commands for responsive machines don't wait behind time-outs: when a zone is cut off,
+        # Two queues, so that commands for responsive machines don't wait behind timeouts: while a zone is unreachable,
         # dozens of machines are unresponsive at a time.
         self._responsive: queue.Queue[CommandTarget] = queue.Queue()
         self._unresponsive: queue.Queue[CommandTarget] = queue.Queue()
         self._queued: set[str] = set()  # names of the machines in either queue
-        self._clients: OrderedDict[tuple[str, int], HttpClient] = OrderedDict()  # the least recently used first
+        self._clients: OrderedDict[tuple[str, int], HttpClient] = OrderedDict()  # least recently used first
         self._lock = threading.Lock()
         self._timeout_s = min(MAX_TIMEOUT_S, settings.report_s)
 
@@ -93,7 +92,7 @@
             start_daemon(f"dispatch-{number}", self._run, targets)
 
     def send(self, names: set[str]) -> None:
-        """Have the commands that follow from these machines' recorded allocations and stops sent."""
+        """Queue these machines for the commands that follow from their recorded allocations and stops."""
         for name in sorted(names):
             with self._machine_registry.lock:
                 machine = self._machine_registry.machines.get(name)
@@ -114,7 +113,7 @@
         targets.put_nowait(target)
 
     def on_shard_acquired(self, grant: ShardGrant) -> None:
-        """Let the workers of a shard that we hold from now on learn the token, as far as we or our peers know them."""
+        """Queue the known workers of a shard that we have acquired, so that they learn its fencing token."""
         targets = {
             machine.name: CommandTarget(machine.name, machine.zone, machine.address, machine.session)
             for machine in self._machine_registry.all()
@@ -126,17 +125,17 @@
                     target = CommandTarget(row.name, row.zone, (row.host, row.port), row.session)
                     targets.setdefault(row.name, target)
         for target in targets.values():
-            self._put(target, self._unresponsive)  # whether they can be reached from here is what we want to know
+            self._put(target, self._unresponsive)  # not known to be reachable from here
 
     def _run(self, targets: queue.Queue[CommandTarget]) -> None:
         while True:
             try:
                 self._serve(targets.get())
             except Exception:
-                log.exception("direct commands")
+                log.exception("sending direct commands failed")
 
     def send_next(self) -> bool:
-        """Send one machine's commands on the caller's thread; False if none are waiting."""
+        """Send one queued machine's commands on the caller's thread; return False if none is queued."""
         for targets in (self._responsive, self._unresponsive):
             with contextlib.suppress(queue.Empty):
                 self._serve(targets.get_nowait())
@@ -144,27 +143,27 @@
         return False
 
     def _serve(self, target: CommandTarget) -> None:
-        client = self._take(target)
-        request = self._request(target)
+        client = self._dequeue(target)
+        request = self._build_request(target)
         if request is not None:
             self._send(target.machine, request, client)
 
-    def _take(self, target: CommandTarget) -> HttpClient:
-        """Take a target off its queue; returns a client for it, and closes the least recently used one if need be."""
+    def _dequeue(self, target: CommandTarget) -> HttpClient:
+        """Unmark a queued target and return its client; close the least recently used client above the limit."""
         with self._lock:
             self._queued.discard(target.machine)
             client = self._clients.get(target.address)
             if client is None:
                 client = self._clients[target.address] = self._connect(target.address, max_idle=1)
             self._clients.move_to_end(target.address)
-            has_too_many = len(self._clients) > connection_limits.max_idle_worker_connections(self._settings)
-            oldest = self._clients.popitem(last=False)[1] if has_too_many else None
+            is_over_limit = len(self._clients) > connection_limits.max_idle_worker_connections(self._settings)
+            oldest = self._clients.popitem(last=False)[1] if is_over_limit else None
         if oldest is not None:
             oldest.close()
         return client
 
-    def _request(self, target: CommandTarget) -> _Request | None:
-        """What is to be sent to a worker now, if anything; a request without commands lets it learn our token."""
+    def _build_request(self, target: CommandTarget) -> _Request | None:
+        """Return the request for a worker, if any is due; one without commands only tells it our fencing token."""
         grant = self._coordinator.grant(shard_of(target.zone))
         if grant is None:
             return None
@@ -178,13 +177,13 @@
                 commands = self._commands(machine, grant.token, lease_valid)
                 session = machine.session
                 knows_token = machine.token >= grant.token and not self._is_unresponsive(machine.last_heartbeat)
-        # without a lease nothing but stops of cancelled tasks is sent, not even our token
+        # without a valid lease only stops of cancelled tasks are sent; a request for the token alone isn't
         if not commands and (not lease_valid or knows_token):
             return None
         return _Request(grant.token, session, commands)
 
     def _commands(self, machine: Machine, token: int, lease_valid: bool) -> list[Command]:
-        """The commands for a machine; called under the machine registry's lock."""
+        """Return the commands for a machine; called under the machine registry's lock."""
         if machine.token > token:
             return []
         allocations = self._job_cache.on_machine(machine.name)
@@ -202,10 +201,10 @@
             self._settle_starts(name, request)
             return
         except NoAnswerError as error:
-            log.info("direct commands to %s: %s", name, error)
-            return  # they may be executed yet: the outcome of the starts stays uncertain
+            log.info("no answer to direct commands from machine %s: %s", name, error)
+            return  # they may still be executed: the outcome of the starts stays unknown
         if status not in (200, 409):
-            log.error("machine %s: unexpected %s to direct commands", name, status)
+            log.error("machine %s answered direct commands with unexpected status %s", name, status)
             return
         self._record_answer(name, request, answer)
 
@@ -213,7 +212,7 @@
         try:
             report = protocol.parse_report(answer)
         except InvalidMessageError as error:
-            log.error("machine %s: unexpected answer: %s", name, error)
+            log.error("machine %s answered direct commands with an invalid report: %s", name, error)
             return
         with self._machine_registry.lock:
             machine = self._machine_registry.record_heartbeat(report, direct=True)
@@ -222,7 +221,7 @@
             self._wake_scheduler()
 
     def _settle_starts(self, name: str, request: _Request) -> None:
-        """Record that the outcome of a request's starts is known: they were executed, or never will be."""
+        """Record that the outcome of a request's starts is known: they were executed or never will be."""
         with self._machine_registry.lock:
             machine = self._machine_registry.machines.get(name)
             if machine is None:
--- a/tidebend/controller/workers/heartbeats.py
+++ b/tidebend/controller/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats: the workers' reports, and the answers to them."""
+"""Heartbeats: handles workers' reports and answers them with commands."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 log = logging.getLogger("workers")
 
-# The newest reports of so many machines are remembered; of others a copy counts as news, as it does after a start.
-REMEMBERED_MACHINES = 10_000
-# keeps a response far below the 64 KiB that a line may have
-MAX_COMMANDS = 300
+# Number of machines whose newest report is remembered. A duplicate from any other machine counts as new, as after a
+# restart.
+MAX_REMEMBERED_MACHINES = 10_000
+MAX_COMMANDS = 300  # keeps an answer far below the 64 KiB that a line may have
 
 
 class ReportNumber(NamedTuple):
-    """The order of one machine's reports."""
+    """The position of a report in the order of its machine's reports."""
 
     session: int
     sequence: int
 
 
 class HeartbeatHandler:
-    """Takes in reports and answers them with commands; safe for use by several threads.
+    """Records reports and answers them with commands; thread-safe.
 
-    A report for a shard that another controller holds is redirected there.
+    A report for a shard that another controller holds is redirected to that controller.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         wake_scheduler: Callable[[], None],
         record_report: Callable[[str], None],
     ) -> None:
-        """`wake_scheduler` is called when a task changes its state; `record_report` with each new report's shard."""
+        """`wake_scheduler` is called when a task's state changes, `record_report` with the shard of each new report."""
         self._settings = settings
         self._cache = cache
         self._job_cache = job_cache
@@ -63,15 +63,15 @@
         self._newest_lock = threading.Lock()
 
     def report(self, raw: bytes) -> Reply:
-        """Answer a report: 200 with commands, 400 if it is invalid, 421 with the shard's holder, or 503."""
+        """Answer a report: 200 with commands, 400 if it is invalid, 421 with the name of the shard's holder, or 503."""
         try:
             report = protocol.parse_report(parse_body(raw))
             self._check(report)
         except InvalidMessageError as error:
-            log.info("a report is refused: %s", error)
+            log.info("rejected an invalid report: %s", error)
             return Reply(400, {"error": str(error)})
         shard = shard_of(report.zone)
-        if self._is_news(report):
+        if self._is_newest(report):
             self._record_report(shard)
         grant = self._coordinator.grant(shard)
         if grant is not None and report.token > grant.token:
@@ -82,23 +82,23 @@
         return self._accept(report, grant)
 
     def _check(self, report: Report) -> None:
-        """Check what the body alone doesn't show.
+        """Check a report against the settings and the known machines.
 
-        Raises InvalidMessageError for an unknown zone, and for a machine that has changed its type.
+        Raises InvalidMessageError for an unknown zone, and if the machine's type, zone or spot flag has changed.
         """
         if report.zone not in self._settings.zones:
-            raise InvalidMessageError(f"harbor: expected one of {', '.join(self._settings.zones)}")
+            raise InvalidMessageError(f"harbor must be one of {', '.join(self._settings.zones)}")
         with self._machine_registry.lock:
             known = self._machine_registry.machines.get(report.machine)
         if known is not None and (known.type, known.zone, known.spot) != (report.type, report.zone, report.spot):
             raise InvalidMessageError(
-                f"vessel: {report.machine} is a {known.type} in {known.zone}{' (spot)' * known.spot}"
+                f"vessel: {report.machine} is known as a {known.type} in {known.zone}{' (spot)' * known.spot}"
             )
 
-    def _is_news(self, report: Report) -> bool:
-        """Whether a report is newer than all that came to us from its machine, whoever holds its shard.
+    def _is_newest(self, report: Report) -> bool:
+        """Return whether a report is the newest received from its machine, whoever holds the shard.
 
-        Late copies of reports must not count: by them an unreachable zone would be taken for reachable.
+        Delayed duplicates must not count, or an unreachable zone would appear reachable.
         """
         number = ReportNumber(report.session, report.sequence)
         with self._newest_lock:
@@ -106,23 +106,23 @@
                 return False
             self._newest[report.machine] = number
             self._newest.move_to_end(report.machine)
-            while len(self._newest) > REMEMBERED_MACHINES:
+            while len(self._newest) > MAX_REMEMBERED_MACHINES:
                 self._newest.popitem(last=False)
         return True
 
     def _redirect(self, shard: str) -> Reply:
         holder = self._coordinator.holder(shard)
         if holder is None or holder == self._settings.name:
-            return unavailable_reply("no holder")
+            return unavailable_reply("the shard has no known holder")
         return Reply(421, protocol.redirect_answer(holder))
 
     def _accept(self, report: Report, grant: ShardGrant) -> Reply:
-        """Take in a report of a shard that we hold, and answer it.
+        """Record a report of a shard that we hold, and answer it.
 
-        If our last read of the key-value store is too old, the report is taken in, but answered 503: since that read
-        a user may have been told that a job is cancelled, whose tasks an answer would keep alive. If such reports were
-        not taken in, a fleet that reported all through an outage of the store would be released as unresponsive as
-        soon as the store is back.
+        If our last read of the key-value store is too old, the report is recorded but answered with 503: since that
+        read a user may have been told that a job is cancelled, and a 200 would renew the lease under which its tasks
+        run. If such reports weren't recorded, machines that kept reporting during an outage of the store would be
+        released as unresponsive as soon as the store recovers.
         """
         is_stale = self._cache.age_s > self._settings.staleness_bound_s
         commands: list[Command] = []
@@ -130,18 +130,18 @@
             states_before = _task_states(self._machine_registry.machines.get(report.machine))
             machine = self._machine_registry.record_heartbeat(report, token=0 if is_stale else grant.token)
             if machine is None:
-                return unavailable_reply("a late report")
+                return unavailable_reply("the report is outdated or its machine was released")
             has_changed = states_before != _task_states(machine)
             if not is_stale:
                 commands = self._commands(machine, grant.token)
         if has_changed:
             self._wake_scheduler()
         if is_stale:
-            return unavailable_reply("the last read of the state service is too old")
+            return unavailable_reply("the last read of the key-value store is too old")
         return Reply(200, protocol.report_answer(grant.token, commands))
 
     def _commands(self, machine: Machine, token: int) -> list[Command]:
-        """The commands for a machine; called under the machine registry's lock."""
+        """Return the commands for a machine; called under the machine registry's lock."""
         allocations = self._job_cache.on_machine(machine.name)
         if self._coordinator.lease_valid:
             commands = commands_for(machine, allocations, token, direct=False)
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -1,4 +1,4 @@
-"""Probes of zones that may be cut off: whether this controller can reach their machines."""
+"""Probes of suspected zones: whether this controller can reach their machines."""
 
 from __future__ import annotations
 
@@ -25,20 +25,21 @@
 
 Address = tuple[str, int]  # host, port
 
-# so many of a zone's machines are probed at a time: if none of them answers, most are out of reach
+# number of a zone's machines probed in a round; if none of them answers, most of the zone is unreachable
 SAMPLE_SIZE = 6
-# a zone that can be reached, though its controller can't, is probed again after this share of the workers' lease
+# delay before probing a suspected but reachable zone again, as a multiple of the workers' lease
 BACKOFF_LEASES = 0.25
-# other controllers should hold an unreachable shard for so many of the workers' leases
+# time for which a shard stays marked as unreachable from here, so that another controller holds it, as a multiple of
+# the workers' lease
 MARK_LEASES = 2.0
-# a controller that has sent no peer frame for so many intervals is taken to be out of touch
-SILENT_EXCHANGES = 3.0
+# time without a peer frame after which a controller counts as unresponsive, as a multiple of the sending interval
+PEER_SILENCE_INTERVALS = 3.0
 MAX_TIMEOUT_S = 2.0
 
 
 @dataclass
 class ProbeRound:
-    """Probes that were sent together, and what came of them so far."""
+    """Probes that were sent together, and their outcomes so far."""
 
     sent: int
     unanswered: int = 0
@@ -46,12 +47,12 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the outcome of each probe is known."""
+        """Whether the outcomes of all probes are known."""
         return self.unanswered + self.answered >= self.sent
 
 
 class MachineLocation(NamedTuple):
-    """Where a machine is, and the address of its worker."""
+    """A machine's zone and the address of its worker."""
 
     zone: str
     address: Address
@@ -63,11 +64,11 @@
 
 
 class ZoneProbe:
-    """Probes some machines of each zone that may be cut off, whoever holds its shard, and announces what it finds.
+    """Probes some machines of each suspected zone, whoever holds its shard, and announces unreachable zones.
 
-    Without it, one holder after the other found a zone unreachable, each after waiting for its machines to become
-    unresponsive: by then the zone's own controller had stopped answering its workers, and all that stood there was lost
-    at once. No task ends because of a probe: an allocation is cleared by proof only.
+    Without probes, one holder after another found a zone unreachable, each only after waiting for its machines to
+    become unresponsive. By then the zone's own controller had stopped answering its workers, and all tasks there were
+    lost at once. Probes don't end tasks: an allocation is removed only on proof that its task no longer runs.
     """
 
     def __init__(
@@ -78,30 +79,30 @@
         machine_registry: MachineRegistry,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        """`connect` makes a client for each probe."""
+        """`connect` creates a client for each probe."""
         self._settings = settings
         self._coordinator = coordinator
         self._peer_exchange = peer_exchange
         self._machine_registry = machine_registry
         self._connect = connect
-        self._last_report: dict[str, float] = {}  # shard -> steady time at which a worker of it last reported to us
-        self._rounds: dict[str, ProbeRound] = {}  # shard -> its latest round
-        self._backoff_until: dict[str, float] = {}  # shard -> steady time before which it isn't probed again
+        self._last_report: dict[str, float] = {}  # shard -> monotonic time of the last report to us
+        self._rounds: dict[str, ProbeRound] = {}  # shard -> latest round
+        self._backoff_until: dict[str, float] = {}  # shard -> monotonic time of its next probes
         self._queue: queue.Queue[_Probe] = queue.Queue()
         self._lock = threading.Lock()
         self._timeout_s = min(MAX_TIMEOUT_S, settings.report_s)
 
     def start(self) -> None:
-        """Start the threads that send probes: one for each machine of a round."""
+        """Start the threads that send probes: one per machine of a round."""
         for number in range(SAMPLE_SIZE):
             start_daemon(f"zone-probe-{number}", self._run)
 
     def record_report(self, shard: str) -> None:
-        """A worker of the shard has sent us a report, whoever holds the shard."""
+        """Record that a worker of the shard has sent us a report, whoever holds the shard."""
         self._last_report[shard] = time.monotonic()
 
     def report_ages(self) -> dict[str, float]:
-        """For each shard, how many seconds ago one of its workers last reported to us, if that was within a lease."""
+        """Return, by shard, the age in seconds of the last report to us, if it is less than a worker's lease."""
         now = time.monotonic()
         return {
             shard: round(now - at, 3)
@@ -109,19 +110,19 @@
             if now - at < self._settings.lease_s
         }
 
-    def _is_out_of_touch(self, node: str) -> bool:
-        silent_s = time.monotonic() - self._peer_exchange.peers[node].at
-        return silent_s > SILENT_EXCHANGES * self._peer_exchange.pause
+    def _is_peer_unresponsive(self, node: str) -> bool:
+        silence_s = time.monotonic() - self._peer_exchange.peers[node].at
+        return silence_s > PEER_SILENCE_INTERVALS * self._peer_exchange.pause
 
     def check_zones(self) -> None:
-        """Evaluate the rounds that are complete and begin new ones; to be called about once a second."""
+        """Evaluate complete rounds and begin new ones; to be called about once per second."""
         now = time.monotonic()
         for zone in self._settings.zones:
             self._check_zone(zone, shard_of(zone), now)
 
     def _check_zone(self, zone: str, shard: str, now: float) -> None:
-        is_suspected = self._coordinator.is_suspected(shard, self._is_out_of_touch)
-        # Otherwise we would take a shard back that we still can't reach, once our announcement has expired.
+        is_suspected = self._coordinator.is_suspected(shard, self._is_peer_unresponsive)
+        # A marked zone is probed too, or we would acquire its shard again after the mark expires, though unreachable.
         is_marked = self._coordinator.is_marked_unreachable(shard)
         if not is_suspected and not is_marked:
             self._rounds.pop(shard, None)
@@ -151,7 +152,7 @@
             self._coordinator.mark_unreachable(shard, complete.sent, MARK_LEASES * self._settings.lease_s)
 
     def addresses(self) -> dict[str, MachineLocation]:
-        """Where the machines are whose address we or our peers know, by name."""
+        """Return, by name, the locations of the machines whose addresses we or our peers know."""
         known = {
             machine.name: MachineLocation(machine.zone, machine.address)
             for machine in self._machine_registry.all()
@@ -164,7 +165,7 @@
         return known
 
     def probe(self, address: Address) -> ProbeRound:
-        """Have one machine probed; the round shows whether it answered."""
+        """Queue a probe of one machine; return the round that will have its outcome."""
         single = ProbeRound(1)
         self._queue.put(_Probe(single, address))
         return single
@@ -187,10 +188,10 @@
             try:
                 self._send(self._queue.get())
             except Exception:
-                log.exception("zone probe")
+                log.exception("probing a machine failed")
 
     def probe_next(self) -> bool:
-        """Send one probe on the caller's thread; False if none is waiting."""
+        """Send one queued probe on the caller's thread; return False if none is queued."""
         with contextlib.suppress(queue.Empty):
             self._send(self._queue.get_nowait())
             return True
@@ -202,7 +203,7 @@
             self._connect(probe.address, max_idle=0).request("GET", protocol.PATH_WORKER_STATUS, None, self._timeout_s)
             has_answered = True
         except (UnreachableError, NoAnswerError) as error:
-            log.debug("%s:%d: %s", *probe.address, error)
+            log.debug("no answer to a probe of %s:%d: %s", *probe.address, error)
         finally:
             with self._lock:
                 probe.round.answered += has_answered
