--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -1,4 +1,4 @@
-"""The command line. A controller on the platform imports nothing of the control service, agents or clients."""
+"""The command line. A controller on the platform imports no module of the control service, agents or clients."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tidebend import __version__
 from tidebend.settings import SettingsError, load_settings
 
-# for these `tidebend.client` is imported; each has a --help of its own
-PRODUCT = (
+# implemented in `tidebend.client`; each has its own --help
+CLIENT_COMMANDS = (
     "up",
     "control",
     "agent",
@@ -27,45 +27,45 @@
     "certs",
 )
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def parser() -> argparse.ArgumentParser:
-    """The arguments of a controller on the platform."""
-    top = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser for the arguments of a controller on the platform."""
+    parser = argparse.ArgumentParser(
         prog="tidebend",
         description="One controller of a tidebend cluster. Without a command it runs until it is killed.",
-        epilog="LOG_LEVEL in the environment (error, info, debug) says how much is logged to standard error. "
-        f"On machines of your own: {', '.join(PRODUCT)} (see `tidebend up --help`).",
+        epilog="The environment variable LOG_LEVEL (error, info, debug) sets the level of the log on standard error. "
+        f"Commands for a cluster on your own machines: {', '.join(CLIENT_COMMANDS)} (see `tidebend up --help`).",
     )
-    top.add_argument(
+    parser.add_argument(
         "command",
         nargs="?",
         choices=["run", "check-config", "format"],
         default="run",
-        help="run the controller (default), only check the settings, or show the format of records that "
-        "is in force and what each controller reads",
+        help="run the controller (default), only check the settings, or show the schema version of records in use "
+        "and the versions that each controller supports",
     )
-    top.add_argument("--config", metavar="FILE", required=True, help="the platform's settings file (TOML)")
-    top.add_argument("--knobs", metavar="FILE", help="the operators' own settings (HCL); the defaults hold without it")
-    top.add_argument("--version", action="version", version=f"tidebend {__version__}")
-    return top
+    parser.add_argument("--config", metavar="FILE", required=True, help="the platform's settings file (TOML)")
+    parser.add_argument("--knobs", metavar="FILE", help="the operators' settings (HCL); defaults apply without it")
+    parser.add_argument("--version", action="version", version=f"tidebend {__version__}")
+    return parser
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the command that the arguments name.
+    """Run the command given by the arguments.
 
-    Returns the exit status: 0, 1 for a command that failed, or 2 for arguments or settings that can't be used.
+    Returns the exit status: 0, 1 for a failed command, or 2 for invalid arguments or settings.
     """
     argv = sys.argv[1:] if argv is None else argv
-    if argv and argv[0] in PRODUCT:
-        from tidebend.client import main as product
+    if argv and argv[0] in CLIENT_COMMANDS:
+        from tidebend.client import main as client_main
 
-        return product(argv)
-    arguments = parser().parse_args(argv)
+        return client_main(argv)
+    arguments = build_parser().parse_args(argv)
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO),
+        level=LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO),
         format="%(levelname)s %(name)s: %(message)s",
     )
     try:
@@ -74,13 +74,13 @@
         print(f"tidebend: {error}", file=sys.stderr)
         return 2
     if arguments.command == "check-config":
-        print(f"{arguments.config}: fine for {settings.name} of {len(settings.peers) + 1} controllers")
+        print(f"{arguments.config}: valid for {settings.name} of {len(settings.peers) + 1} controllers")
         return 0
     if arguments.command == "format":
         from tidebend.coordination.schema_version import show
 
         return show(settings)
-    from tidebend.controller import run  # the rest is imported only when it is needed
+    from tidebend.controller import run  # imported only when needed
 
     run(settings)
     return 0
--- a/tidebend/controller/__init__.py
+++ b/tidebend/controller/__init__.py
@@ -1,4 +1,4 @@
-"""Wiring: one controller's parts, threads and routes."""
+"""The controller: its components, threads and HTTP routes."""
 
 from tidebend.controller.controller import Controller, run
 
--- a/tidebend/controller/connection_limits.py
+++ b/tidebend/controller/connection_limits.py
@@ -1,50 +1,51 @@
-"""How a controller's sockets and threads are shared out: all by its settings, none by the size of some fleet."""
+"""Division of a controller's sockets and threads. It depends on the settings alone, not on the number of machines."""
 
 from __future__ import annotations
 
 from tidebend.settings import Settings
 
-# the platform's bound, less what we run besides threads for connections
-MOST_THREADS = 2000 - 100
-# connections kept to workers for direct commands, and threads that ask silent ones, as shares of all sockets
-KEPT_SHARE = 1 / 16
-ASKING_SHARE = 1 / 64
-# ... but no more than this, so that most threads are for connections, however many sockets there are
-MOST_ASKING = MOST_THREADS // 8
-# Connections that wait to be taken. Guards a controller that is behind with its answers: with a backlog as long as all
-# its connections it came to its last socket, and the load balancer's probes found none.
+# the platform's limit on threads, less a reserve for the controller's own loops
+MAX_THREADS = 2000 - 100
+# idle connections to workers for direct commands, as a fraction of all sockets
+IDLE_WORKER_CONNECTIONS_SHARE = 1 / 16
+# threads that send to unresponsive machines, as a fraction of all sockets
+UNRESPONSIVE_THREADS_SHARE = 1 / 64
+# Bounds those threads, so that most threads serve connections however many sockets there are.
+MAX_UNRESPONSIVE_THREADS = MAX_THREADS // 8
+# Length of the listen queue, as a fraction of all sockets. With a queue as long as the number of connections, an
+# overloaded controller used up its sockets, and the load balancer's probes couldn't connect.
 BACKLOG_SHARE = 1 / 16
-# to the state service and the cloud, listening ones, and a few that are about to be closed
-OWN = 24
+# sockets to the key-value store and the cloud, listening sockets, and a few that are about to be closed
+RESERVED_SOCKETS = 24
 
 
 def max_idle_worker_connections(settings: Settings) -> int:
-    """Idle connections to workers, for direct commands."""
-    return max(4, int(KEPT_SHARE * settings.max_sockets))
+    """Return how many idle connections to workers are kept for direct commands."""
+    return max(4, int(IDLE_WORKER_CONNECTIONS_SHARE * settings.max_sockets))
 
 
 def unresponsive_threads(settings: Settings) -> int:
-    """Threads that ask silent machines; each takes a full time-out for one."""
-    return min(MOST_ASKING, max(5, int(ASKING_SHARE * settings.max_sockets)))
+    """Return the number of threads that send to unresponsive machines; each request may take a full timeout."""
+    return min(MAX_UNRESPONSIVE_THREADS, max(5, int(UNRESPONSIVE_THREADS_SHARE * settings.max_sockets)))
 
 
 def listen_backlog(settings: Settings) -> int:
-    """Connections that wait to be taken."""
+    """Return the length of the listen queue."""
     return max(8, int(BACKLOG_SHARE * settings.max_sockets))
 
 
 def max_incoming_connections(settings: Settings) -> int:
-    """Connections of users and workers at a time: what our own, to peers and by peers leave."""
-    own = (
-        OWN
+    """Return the maximum number of connections from users and workers: the sockets that have no other use."""
+    reserved = (
+        RESERVED_SOCKETS
         + 4 * len(settings.peers)
         + max_idle_worker_connections(settings)
         + unresponsive_threads(settings)
         + listen_backlog(settings)
     )
-    return max(settings.max_sockets // 2, settings.max_sockets - own)
+    return max(settings.max_sockets // 2, settings.max_sockets - reserved)
 
 
 def connection_threads(settings: Settings) -> int:
-    """Threads for the connections of users and workers, of which there may be more: idle ones do without."""
-    return MOST_THREADS - unresponsive_threads(settings)
+    """Return the number of threads that serve users and workers; idle connections need no thread."""
+    return MAX_THREADS - unresponsive_threads(settings)
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -1,4 +1,4 @@
-"""Wiring: creates one controller's parts, connects them and starts their threads."""
+"""Creates a controller's components, connects them and starts their threads."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.api.router import Router
 from tidebend.controller.autoscaling.autoscaler import Autoscaler
-from tidebend.controller.peer_report import PeerReport
+from tidebend.controller.peer_report import PeerFrameBuilder
 from tidebend.controller.quota.quota_rebalancing import QuotaRebalancer
 from tidebend.controller.readiness import Readiness
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
@@ -36,53 +36,55 @@
 
 log = logging.getLogger("controller")
 
-STACK_BYTES = 256 * 1024  # of each thread
+STACK_BYTES = 256 * 1024  # per thread
 GC_THRESHOLDS = (5000, 20, 50)
-MAX_FINALS = 20_000  # final states of jobs that are kept in memory
-# a request to the state service times out after this share of a controller's lease, but not sooner than the minimum
-STATE_TIMEOUT_SHARE = 0.25
-MIN_STATE_TIMEOUT_S = 0.6
-# A watch waits for this share of a controller's lease. One that hangs unnoticed keeps the cache old for its whole time,
-# so it lasts only until the lease is renewed again: that makes no more requests than the renewals do.
+MAX_CACHED_FINAL_STATES = 20_000  # number of jobs
+# timeout of a request to the key-value store, as a fraction of a controller's lease, and its lower bound
+STORE_TIMEOUT_SHARE = 0.25
+MIN_STORE_TIMEOUT_S = 0.6
+# Duration of a watch request, as a fraction of a controller's lease. If a request hangs, the cache is stale until it
+# times out; so it lasts no longer than the interval between renewals of the lease, which also makes watches no more
+# frequent than renewals.
 WATCH_SHARE = 0.25
-# the pause after a failed watch, as a share of the workers' lease
+# pause after a failed watch, as a fraction of the workers' lease
 WATCH_RETRY_SHARE = 0.1
-# connections without a request are closed after this many of the workers' leases
-IDLE_LEASES = 2.0
-# the longest time in seconds for receiving a request's body, if half of the workers' lease isn't shorter
+# timeout of idle connections, as a multiple of the workers' lease
+IDLE_TIMEOUT_LEASES = 2.0
+# timeout for receiving a request's body, unless half of the workers' lease is shorter
 MAX_BODY_S = 5.0
 
 
 class Controller:
-    """One controller's parts.
+    """The components of one controller.
 
-    The parts are created from the state service's client upwards. Each gets what it needs as constructor arguments;
-    where two parts need each other, the first gets a function that looks the second up when it is called.
+    Components are created bottom-up, beginning with the client of the key-value store, and get their dependencies as
+    constructor arguments. Where two depend on each other, the first gets a function that looks the second up when it
+    is called.
     """
 
     def __init__(self, settings: Settings, connect: Callable[..., HttpClient] = HttpClient) -> None:
-        """Create all parts without starting any thread; `connect` creates the clients of all HTTP connections."""
+        """Create all components without starting threads; `connect` creates each HTTP client."""
         self.settings = settings
         self._connect = connect
-        self._create_state_client()
+        self._create_store_client()
         self._create_coordination()
         self._create_record_writers()
         self._create_scheduler()
         self._create_machine_management()
         self._create_api()
 
-    def _create_state_client(self) -> None:
-        """The client of the state service, and the caches of what it keeps."""
+    def _create_store_client(self) -> None:
+        """Create the client of the key-value store, and the caches of its contents."""
         settings = self.settings
         self.state = KeyValueClient(
             settings.state,
             settings.state_limits,
             settings.controllers,
-            max(MIN_STATE_TIMEOUT_S, settings.controller_lease_s * STATE_TIMEOUT_SHARE),
+            max(MIN_STORE_TIMEOUT_S, settings.controller_lease_s * STORE_TIMEOUT_SHARE),
             self._connect,
         )
-        lock = threading.RLock()  # shared, so that a change is seen in both caches or in neither
-        self.job_cache = JobCache(lock, MAX_FINALS)
+        lock = threading.RLock()  # shared, so that a change becomes visible in both caches at once
+        self.job_cache = JobCache(lock, MAX_CACHED_FINAL_STATES)
         self.cache = WatchCache(
             self.state,
             self._on_change,
@@ -93,14 +95,14 @@
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
 
     def _create_coordination(self) -> None:
-        """The lease and the shards, the peers, and the connections to workers."""
+        """Create what handles leases and shards, peers, and connections to workers."""
         settings = self.settings
         self.machine_registry = MachineRegistry()
         self.coordinator = Coordinator(
             settings,
             self.state,
             self.cache,
-            # looked up when it is called: the dispatcher itself needs the coordinator
+            # looked up when called, since the dispatcher depends on the coordinator
             lambda grant: self.command_dispatcher.on_shard_acquired(grant),
             self.schema_version,
             lambda node, shard: self.peer_exchange.has_reported_holding(node, shard),
@@ -141,7 +143,7 @@
         )
 
     def _create_machine_management(self) -> None:
-        """What rents machines, and what finds out which of them are reachable."""
+        """Create what rents machines and what probes whether they are reachable."""
         self.zone_probe = ZoneProbe(
             self.settings, self.coordinator, self.peer_exchange, self.machine_registry, self._connect
         )
@@ -156,7 +158,7 @@
             self.zone_probe,
             self._connect,
         )
-        self._peer_report = PeerReport(
+        self._peer_frame_builder = PeerFrameBuilder(
             self.settings,
             self.cache,
             self.coordinator,
@@ -168,7 +170,7 @@
         )
 
     def _create_api(self) -> None:
-        """The handlers of users' requests and workers' heartbeats."""
+        """Create the handlers of users' requests and workers' heartbeats."""
         self.job_api = JobApi(
             self.settings,
             self.state,
@@ -193,7 +195,7 @@
         self.readiness = Readiness(self.settings, self.cache, self.peer_exchange, self._machine_types)
         self._router = Router(self.readiness, self.job_api, self.heartbeats.report)
 
-    # Looked up when called, since the parts that need them are created before those that have them.
+    # Looked up when called, since the components that use them are created before those that provide them.
 
     def _wake_scheduler(self) -> None:
         self.scheduling_loop.wake()
@@ -202,14 +204,14 @@
         return self.autoscaler.types
 
     def peer_frame(self) -> dict[str, Any]:
-        """Return the frame that peers are to be sent now."""
-        return self._peer_report.build()
+        """Return the frame to be sent to peers now."""
+        return self._peer_frame_builder.build()
 
     def _on_change(self, key: str, value: Any, version: int) -> None:
-        """Pass a changed record on to those who keep or watch it; called under the caches' lock."""
+        """Apply a changed record to the caches and wake the loops that depend on it; called with the caches locked."""
         self.job_cache.on_change(key, value, version)
         if key == FORMAT and self.schema_version.pipelines:
-            # from now on the limits that are announced for the time after an upgrade may be in force
+            # the store's limits announced for after the upgrade may apply from now on
             self.state.keep_within(self.settings.state_next)
             self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
@@ -221,15 +223,15 @@
     # Running
 
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
-        """Answer a request; `body` reads its body. Raises what reading or parsing the body raises."""
+        """Answer a request; `body` reads its body. Propagates the errors of reading and parsing the body."""
         return self._router.route(method, path, body)
 
     def ready(self) -> bool:
-        """Whether requests should be sent here."""
+        """Return whether the load balancer should send requests to this controller."""
         return self.readiness.is_ready()
 
     def start_threads(self) -> None:
-        """Start all threads; requests reach the controller by `route`, from whichever server."""
+        """Start all threads except for a server's; a server passes requests to `route`."""
         self.cache.start()
         self.coordinator.start()
         if self.settings.peers:
@@ -241,11 +243,11 @@
         self.autoscaler.start()
 
     def start(self) -> Server:
-        """Open the listening socket and start all threads; the caller has to run the server that is returned."""
+        """Open the listening socket and start all threads; the caller has to run the returned server."""
         server = Server(
             self.settings.listen,
             self.route,
-            idle_timeout_s=IDLE_LEASES * self.settings.lease_s,
+            idle_timeout_s=IDLE_TIMEOUT_LEASES * self.settings.lease_s,
             body_timeout_s=min(MAX_BODY_S, self.settings.lease_s / 2.0),
             max_connections=connection_limits.max_incoming_connections(self.settings),
             backlog=connection_limits.listen_backlog(self.settings),
@@ -256,10 +258,10 @@
 
 
 def run(settings: Settings) -> None:
-    """Run one controller until the process ends."""
+    """Run a controller until the process ends."""
     threading.stack_size(STACK_BYTES)
     gc.set_threshold(*GC_THRESHOLDS)
     server = Controller(settings).start()
-    log.info("version %s, reads up to schema version %d", __version__, NEWEST)
-    log.info("%s in %s serves on %s:%d", settings.name, settings.zone, *settings.listen)
+    log.info("version %s, reads records up to schema version %d", __version__, NEWEST)
+    log.info("controller %s in zone %s listens on %s:%d", settings.name, settings.zone, *settings.listen)
     server.serve_forever(poll_interval=5.0)
--- a/tidebend/controller/peer_report.py
+++ b/tidebend/controller/peer_report.py
@@ -16,8 +16,8 @@
 from tidebend.settings import Settings
 
 
-class PeerReport:
-    """Builds the frame from the present state; its format is that of the protocol between controllers."""
+class PeerFrameBuilder:
+    """Builds the frame from the controller's current state."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         autoscaler: Autoscaler,
         zone_probe: ZoneProbe,
     ) -> None:
-        """Read from these parts; none of them is changed."""
+        """Take the components that frames are built from; they are only read."""
         self._settings = settings
         self._cache = cache
         self._coordinator = coordinator
@@ -41,9 +41,9 @@
         self._zone_probe = zone_probe
 
     def build(self) -> dict[str, Any]:
-        """Return the frame as it is to be sent now.
+        """Return the frame to be sent now.
 
-        Peers of the schema version before pipelines know no jobs that crash loop and no ages of heartbeats.
+        Peers of the schema version before pipelines don't support its fields for crash-looping jobs and report ages.
         """
         frame = PeerFrame(
             sender=self._settings.name,
@@ -61,7 +61,7 @@
         return frame.pack()
 
     def _machines(self) -> list[PeerMachine]:
-        """The machines in our shards that take tasks, then those that were released lately."""
+        """Return the machines in our shards that accept tasks, then the recently released ones."""
         machines = [
             PeerMachine(
                 machine.name,
--- a/tidebend/controller/readiness.py
+++ b/tidebend/controller/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this controller can decide requests, as the load balancer and the router ask."""
+"""Readiness of this controller to serve requests, for the load balancer and the router."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from tidebend.protocol import MachineType
 from tidebend.settings import Settings
 
-# the time after a start for which requests wait for the first read, as a share of a controller's lease
+# time after a start during which requests wait for the first read, as a fraction of a controller's lease
 FIRST_READ_SHARE = 0.2
-# the time in seconds between two looks whether the first read has come
+# interval for polling whether the first read is complete
 FIRST_READ_POLL_S = 0.01
 
 
 class Readiness:
-    """Compares the age of our reads of the state service with the peers'."""
+    """Decides by the age of our last read of the key-value store, compared with those of the peers."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         peer_exchange: PeerExchange,
         machine_types: Callable[[], dict[str, MachineType]],
     ) -> None:
-        """Created when the controller starts; `machine_types` returns the types known so far."""
+        """To be created when the controller starts; `machine_types` returns the types known so far."""
         self._settings = settings
         self._cache = cache
         self._peer_exchange = peer_exchange
@@ -34,19 +34,19 @@
         self._wait_until = time.monotonic() + FIRST_READ_SHARE * settings.controller_lease_s
 
     def wait_for_first_read(self) -> None:
-        """Wait until the first read is complete, but no longer than for a moment after the start.
+        """Wait until the first read is complete or a fraction of the lease has passed since the start.
 
-        A controller that is started again within a fraction of a second after its end still gets requests. If it
-        refused them for being early by that fraction, their users would come back only after a second.
+        A controller that restarts within a fraction of a second keeps getting requests. If it rejected them because
+        it isn't ready yet, their users would retry only after a second.
         """
         while not self._has_read() and time.monotonic() < self._wait_until:
             time.sleep(FIRST_READ_POLL_S)
 
     def is_ready(self) -> bool:
-        """Whether requests should be sent here.
+        """Return whether the load balancer should send requests to this controller.
 
-        Not ready is a controller that has never read the state service, or not for a lease while some peer has. If no
-        controller reaches the state service, all stay ready: final answers can still be given.
+        A controller isn't ready if it has never read the key-value store, or hasn't for a controller's lease while a
+        peer has. If no controller can reach the store, all stay ready, since they can still answer with final states.
         """
         if not self._has_read():
             return False
@@ -54,7 +54,7 @@
         if self._cache.age_s <= max_age_s:
             return True
         now = time.monotonic()
-        # of the peers heard of lately: whether each one's last read is recent, by its own clock
+        # for each peer with a recent frame: whether its last read, timestamped by its wall clock, is recent
         peers_with_recent_read = [
             time.time() - peer.as_of <= max_age_s + self._settings.clock_off_s
             for peer in self._peer_exchange.peers.values()
--- a/tidebend/threads.py
+++ b/tidebend/threads.py
@@ -1,4 +1,4 @@
-"""Background threads of a process."""
+"""Daemon threads."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def start_daemon(name: str, target: Callable[..., None], *args: Any) -> threading.Thread:
-    """Start a thread that doesn't keep the process alive; `name` is what thread dumps show."""
+    """Start a daemon thread; thread dumps show `name`."""
     thread = threading.Thread(target=target, args=args, name=name, daemon=True)
     thread.start()
     return thread
