--- a/tests/test_polls.py
+++ b/tests/test_polls.py
@@ -1,4 +1,4 @@
-"""A flood of questions: reads are joined and bounded, and our lease comes first."""
+"""Many concurrent polls: their reads are shared and rate-limited, and lease renewals take precedence."""
 
 import threading
 import time
@@ -23,8 +23,8 @@
 LIMITS = Limits(rps=60.0, write_rps=15.0, value_bytes=8192, txn_ops=12)
 
 
-class Counted:
-    """A state service that answers reads at once and counts them."""
+class CountingStore:
+    """Answers reads at once and records them."""
 
     poll_pause_s = 0.2
 
@@ -41,31 +41,31 @@
 
 @pytest.fixture
 def cache():
-    made = WatchCache(Counted(), lambda *row: None, threading.RLock(), 1.0, 1.0)
-    made.catch_up(0.0, "claim")
-    threading.Thread(target=made.read_barrier.run, daemon=True).start()
-    return made
+    watch_cache = WatchCache(CountingStore(), lambda *row: None, threading.RLock(), 1.0, 1.0)
+    watch_cache.catch_up(0.0, "claim")
+    threading.Thread(target=watch_cache.read_barrier.run, daemon=True).start()
+    return watch_cache
 
 
 def test_polls_share_reads_that_begin_a_pause_apart_and_all_are_answered(cache):
-    """Each poll's read went off by itself: what the state service has was gone before leases were renewed."""
+    """Guards against one read per poll, which used up the store's rate limit so that leases weren't renewed."""
     answers = []
 
-    def users():
+    def poll_repeatedly():
         for _ in range(10):
             answers.append(cache.barrier(1.2))
             time.sleep(0.02)
 
-    threads = [threading.Thread(target=users) for _ in range(20)]
+    threads = [threading.Thread(target=poll_repeatedly) for _ in range(20)]
     began = time.monotonic()
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    spent = time.monotonic() - began
+    elapsed = time.monotonic() - began
     assert len(answers) == 200
     assert all(answers)
-    assert len(cache.state.reads) <= spent / cache.state.poll_pause_s + 2
+    assert len(cache.state.reads) <= elapsed / cache.state.poll_pause_s + 2
 
 
 def test_a_claim_does_not_wait_for_the_polls_next_read(cache):
@@ -76,23 +76,23 @@
     assert cache.barrier(1.2, "claim")
     assert time.monotonic() - began < 0.5 * cache.state.poll_pause_s
     poll.join()
-    assert [kind for _, kind in cache.state.reads] == ["poll", "claim"]  # the poll has joined the claim's
+    assert [kind for _, kind in cache.state.reads] == ["poll", "claim"]  # the poll shared the claim's read
 
 
-class Refusing:
-    """Refuses the first requests, as a service does whose limit the others have used up."""
+class RateLimitedStore:
+    """Answers the first requests with 429, as if other clients had used up the rate limit."""
 
     def __init__(self, address, max_idle):
-        self.left = 3
+        self.rejections_left = 3
 
     def request(self, method, path, body, timeout):
-        self.left -= 1
-        return (429, {}) if self.left >= 0 else (200, {"mooring": 7})
+        self.rejections_left -= 1
+        return (429, {}) if self.rejections_left >= 0 else (200, {"mooring": 7})
 
 
 def test_a_lease_is_renewed_though_others_have_used_up_the_second():
-    """It was tried again after a quarter of a controller's lease at the most, and ended after four refusals."""
-    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
+    """Guards against losing the lease after four rejections, when each retry waited up to a quarter of the lease."""
+    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=RateLimitedStore)
     began = time.monotonic()
     assert client.grant_lease(3.5) == 7
     assert client.extend_lease(7)
@@ -100,16 +100,16 @@
 
 
 def test_polls_are_held_back_only_while_the_service_refuses_requests_for_the_rate():
-    """Held back always, they kept caches older than they need be: claims collided, and guarantees came later."""
-    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=Refusing)
-    often = client.poll_pause_s
-    client._http.left = 6
+    """Guards against delaying all polls, which made caches stale: claims conflicted, and guarantees came later."""
+    client = KeyValueClient(("state", 1), LIMITS, 3, 0.9, connect=RateLimitedStore)
+    normal_pause_s = client.poll_pause_s
+    client._http.rejections_left = 6
     client.grant_lease(3.5)
-    assert client.poll_pause_s > 4 * often
+    assert client.poll_pause_s > 4 * normal_pause_s
 
 
-class Answering:
-    """Gives each request the same answer, or fails with it."""
+class FixedOutcome:
+    """Answers each request with the same status and body, or raises the same error."""
 
     def __init__(self, outcome):
         self.outcome = outcome
@@ -121,7 +121,7 @@
 
 
 def client_of(outcome, limits=LIMITS):
-    return KeyValueClient(("state", 1), limits, 3, 0.9, connect=lambda address, max_idle: Answering(outcome))
+    return KeyValueClient(("state", 1), limits, 3, 0.9, connect=lambda address, max_idle: FixedOutcome(outcome))
 
 
 @pytest.mark.parametrize(
@@ -133,7 +133,7 @@
         ((429, {}), OverBudgetError),
         ((503, {}), NotExecutedError),
         ((500, {}), OutcomeUnknownError),
-        ((200, {}), OutcomeUnknownError),  # without a revision
+        ((200, {}), OutcomeUnknownError),  # the revision is missing
         (UnreachableError("no route"), NotExecutedError),
         (NoAnswerError("timed out"), OutcomeUnknownError),
     ],
@@ -148,7 +148,7 @@
     client = client_of((200, {"logline": 1}), Limits(rps=60.0, write_rps=3.0, value_bytes=8192, txn_ops=12))
     with pytest.raises(OverBudgetError) as raised:
         client.transact({}, [("a", 1, None)] * 5, patience=0.0)
-    # by its text users are told that there are too many requests
+    # the users' API answers 429 for this error
     assert isinstance(raised.value, NotExecutedError)
     assert str(raised.value) == "over budget"
 
