--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -114,7 +114,7 @@
     for tick in range(60):  # one becomes idle each second
         surplus = [Machine(f"m-{tick}-{shard}", "box", shard, False) for shard in ("north", "south")]
         autoscaler.scale_in.release(surplus, now + tick)
-    pause_s = settings.controllers / (scale_in.CALLS_SHARE * settings.cloud_rps)
+    pause_s = settings.controller_count / (scale_in.CALLS_SHARE * settings.cloud_rps)
     assert 0.5 * 60 / pause_s <= len(calls) <= 60 / pause_s + 1
     assert all(len(names) == 2 for names in calls)
 
@@ -232,7 +232,7 @@
 
     cache = WatchCache(Overtaken(), lambda *row: None, threading.RLock(), 1.0, 1.0)
     cache.catch_up(0.0, "claim")
-    assert not cache.under(LIVE)
+    assert not cache.get_by_prefix(LIVE)
     cache.apply([(f"{LIVE}job/x", None, 3 * LARGE_FLEET)])
     assert len(cache._tombstones) == 0  # no request is under way that could undo them
 
--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from tidebend.autoscaling.capacity import Capacity, Offer, ProvisionRequest
-from tidebend.scheduling import Amount, TaskRequest, need_of, times_fit
+from tidebend.scheduling import Amount, TaskRequest, count_fitting_tasks, need_of
 
 # estimates are often wrong by half: count on tasks that take that much longer
 WRONG_BY = 1.5
@@ -46,7 +46,7 @@
 
     @classmethod
     def of(cls, request: TaskRequest) -> _RequestRank:
-        return cls(not request.service, -request.value.starting_value, request.value.soft_deadline, request.job)
+        return cls(not request.is_service, -request.value.starting_value, request.value.soft_deadline, request.job_id)
 
 
 class _OfferRank(NamedTuple):
@@ -101,9 +101,9 @@
             return  # it waits for others, and a machine would be up before they are done
         fitting_types = self._fitting_types(request)
         # what becomes free before the tasks must begin at the latest, or before a new machine could be up
-        by = max(self._slack_s(request), ready_in, 0.0 if request.service else boot_s)
+        by = max(self._slack_s(request), ready_in, 0.0 if request.is_service else boot_s)
         capacities, missing = self._capacities, self._missing_tasks(request)
-        if request.gang and not request.spec.spread:
+        if request.is_gang and not request.spec.spread:
             zone = self._zone_for_gang(request, offers, by, fitting_types)
             capacities = [capacity for capacity in capacities if capacity.zone == zone]
             offers = [offer for offer in offers if offer.zone == zone]
@@ -119,7 +119,7 @@
             and (spec.spot or not offer.spot)
             and offer.zone in offer.type.zones
             and spec.zone in (None, offer.zone)
-            and request.zone_room(offer.zone) > 0
+            and request.zone_headroom(offer.zone) > 0
             and not (request.avoids_gpus and offer.type.gpus > 0)
         ]
 
@@ -134,7 +134,7 @@
     def _missing_tasks(self, request: TaskRequest) -> int:
         """How many of the waiting tasks must run side by side for the job to make its soft deadline."""
         side_by_side = request.waiting
-        if not request.service and request.spec.kind != "gang":
+        if not request.is_service and request.spec.kind != "gang":
             left = request.value.soft_deadline - self._now
             rounds = max(1, math.floor(left / max(WRONG_BY * request.estimate, LEAST_RUN_S)))
             side_by_side = math.ceil(request.waiting / rounds)
@@ -142,7 +142,7 @@
 
     def _slack_s(self, request: TaskRequest) -> float:
         """Seconds that a request's tasks may wait for others to end; a service's replicas don't wait."""
-        if request.service:
+        if request.is_service:
             return 0.0
         until_latest_start = request.value.soft_deadline - self._now - WRONG_BY * request.estimate
         return max(0.0, min(SPARE * until_latest_start, request.start_by - self._now))
@@ -169,7 +169,7 @@
         room = {zone: 0 for zone in zones if request.spec.zone in (None, zone)}
         for capacity in self._capacities:
             if capacity.allowed(request.spec, fitting_types):
-                room[capacity.zone] += times_fit(capacity.room_by(by), need)
+                room[capacity.zone] += count_fitting_tasks(capacity.room_by(by), need)
         return room
 
     def _zone_rank(self, request: TaskRequest, zone: str, room: int, offers: list[Offer]) -> _ZoneRank:
@@ -197,7 +197,7 @@
         """The offer that costs least for each task that fits; of equals the first. None if no task fits on any."""
         best: _BestOffer | None = None
         for offer in offers:
-            tasks = min(missing, times_fit(offer.whole, need), request.zone_room(offer.zone))
+            tasks = min(missing, count_fitting_tasks(offer.whole, need), request.zone_headroom(offer.zone))
             if tasks < 1:
                 continue
             machines = self._machines_by_zone.get(offer.zone, 0) + self.machines.get(offer, 0)
@@ -215,7 +215,7 @@
             break
         if not capacity.allowed(request.spec, fitting_types):
             continue
-        tasks = min(missing, times_fit(capacity.room_by(by), need), request.zone_room(capacity.zone))
+        tasks = min(missing, count_fitting_tasks(capacity.room_by(by), need), request.zone_headroom(capacity.zone))
         if tasks > 0:
             capacity.take(need, tasks)
             request.add_to_zone(capacity.zone, tasks)
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -10,7 +10,7 @@
 from tidebend import protocol
 from tidebend.cluster_state.final_states import unpack_final
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB, Job
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.controller.api.replies import RETRY_LATER, parse_body, unavailable_reply
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.controller.records.job_writer import JobWriter
@@ -144,10 +144,10 @@
         Final states never change, so they are answered from the cache; a cancellation becomes final once it is sealed.
         Raises `NotExecutedError` or `OutcomeUnknownError`.
         """
-        if self._job_cache.final(job_id) is None:
+        if self._job_cache.final_state(job_id) is None:
             if not self._cache.loaded.is_set() or not self._cache.barrier(self._read_timeout_s):
                 raise NotExecutedError("no read of the key-value store completed in time")
-            self._look_up_finals(self._job_cache.unresolved(job_id), "poll")
+            self._look_up_finals(self._job_cache.missing_final_states(job_id), "poll")
         self._cancellation_sealer.seal(job_id)
         answer = self._answer_from_cache(job_id)
         if answer is None:
@@ -160,13 +160,13 @@
 
     def _answer_from_cache(self, job_id: str) -> Reply | None:
         """Return the job's state as cached; None if the cache has neither the job nor its final state."""
-        final = self._job_cache.final(job_id)
+        final = self._job_cache.final_state(job_id)
         if final is not None:
             return Reply(200, protocol.job_answer(job_id, final))
         job = self._job_cache.get(job_id)
         if job is None:
             # the job may have ended between the two lookups
-            final = self._job_cache.final(job_id)
+            final = self._job_cache.final_state(job_id)
             return None if final is None else Reply(200, protocol.job_answer(job_id, final))
         if job.complete:
             return Reply(200, protocol.job_answer(job.id, "done", job.spec.tasks, 0))
@@ -206,7 +206,7 @@
         """Return why this controller can't decide about the job yet; None if it can."""
         if not self._machine_types() or not self._cache.loaded.is_set():
             return "the machine types or the records haven't been read yet"
-        if job.dependencies and not self._schema_version.pipelines:
+        if job.dependencies and not self._schema_version.supports_pipelines:
             # a controller of the version before pipelines would ignore the dependencies and start the job
             return "not all controllers support dependencies (awaits) yet"
         return None
@@ -218,7 +218,7 @@
             raise SubmissionRejectedError(400, "awaits: too many jobs for a record")
         reason = (
             self._reason_never_runs(job.spec)
-            or (limits.reason_never_fits(job) if self._schema_version.pipelines else None)
+            or (limits.reason_never_fits(job) if self._schema_version.supports_pipelines else None)
             or self._reason_never_unblocked(job.dependencies)
         )
         if reason:
@@ -246,17 +246,17 @@
             job = self._job_cache.get(job_id)
             if job is not None and job.spec.kind == "service":
                 return f"awaits: {job_id} is a service"
-            if job is None and self._job_cache.final(job_id) is None and self.find(job_id) is None:
+            if job is None and self._job_cache.final_state(job_id) is None and self.find(job_id) is None:
                 return f"awaits: {job_id} was never accepted"
         return None
 
     def _write_new(self, job: Job) -> Reply:
         """Write the job's record unless a record of any form exists, and answer with the job's recorded state."""
-        conditions = {JOB + job.id: 0, HEAD + job.id: 0, FINAL + job.id: 0}
-        if job.key != JOB + job.id:
+        conditions = {JOB_PREFIX + job.id: 0, HEAD_PREFIX + job.id: 0, FINAL + job.id: 0}
+        if job.key != JOB_PREFIX + job.id:
             conditions[FORMAT] = self._cache.get(FORMAT)[1]
         try:
-            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", patience=SUBMIT_RETRY_S)
+            self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", retry_for_s=SUBMIT_RETRY_S)
         except ConflictError:
             return self.find(job.id) or unavailable_reply("the request wasn't completed; try again")
         except OutcomeUnknownError:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -10,9 +10,9 @@
 
 from tidebend import __version__, protocol
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.cluster_state.job_records import HEAD, JOB
+from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX
 from tidebend.cluster_state.machine_registry import MachineRegistry
-from tidebend.cluster_state.record_chunks import CHUNK
+from tidebend.cluster_state.record_chunks import CHUNK_PREFIX
 from tidebend.controller import connection_limits
 from tidebend.controller.api.job_api import JobApi
 from tidebend.controller.api.router import Router
@@ -78,8 +78,8 @@
         settings = self.settings
         self.state = KeyValueClient(
             settings.state,
-            settings.state_limits,
-            settings.controllers,
+            settings.store_limits,
+            settings.controller_count,
             max(MIN_STORE_TIMEOUT_S, settings.controller_lease_s * STORE_TIMEOUT_SHARE),
             self._connect,
         )
@@ -90,7 +90,7 @@
             self._on_change,
             lock,
             watch_s=settings.controller_lease_s * WATCH_SHARE,
-            retry_s=WATCH_RETRY_SHARE * settings.lease_s,
+            retry_pause_s=WATCH_RETRY_SHARE * settings.lease_s,
         )
         self.schema_version = SchemaVersion(settings, self.state, self.cache)
 
@@ -122,7 +122,7 @@
         self.quota_rebalancer = QuotaRebalancer(
             self.settings, self.cache, self.job_cache, self.schema_version, self.coordinator.held_zones
         )
-        self.record_limits = RecordLimits(self.settings.state_limits, self.schema_version, self.state.writes_per_s)
+        self.record_limits = RecordLimits(self.settings.store_limits, self.schema_version, self.state.writes_per_s)
         self.job_writer = JobWriter(self.cache, self.job_cache, self.quota_rebalancer, self.record_limits)
         self.cancellation_sealer = CancellationSealer(self.job_cache, self.job_writer)
         self.final_lookup = FinalRecordLookup(self.state, self.job_cache)
@@ -210,12 +210,12 @@
     def _on_change(self, key: str, value: Any, version: int) -> None:
         """Apply a changed record to the caches and wake the loops that depend on it; called with the caches locked."""
         self.job_cache.on_change(key, value, version)
-        if key == FORMAT and self.schema_version.pipelines:
+        if key == FORMAT and self.schema_version.supports_pipelines:
             # the store's limits announced for after the upgrade may apply from now on
-            self.state.keep_within(self.settings.state_next)
-            self.record_limits.apply(self.settings.state_next, self.state.writes_per_s)
+            self.state.set_limits(self.settings.next_store_limits)
+            self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
             log.info("schema version %d is in force", self.schema_version.version)
-        if key.startswith((JOB, HEAD, CHUNK, FINAL)):
+        if key.startswith((JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX, FINAL)):
             self.scheduling_loop.wake()
         else:
             self.coordinator.wake.set()
--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -111,8 +111,8 @@
         }
 
     def _is_peer_unresponsive(self, node: str) -> bool:
-        silence_s = time.monotonic() - self._peer_exchange.peers[node].at
-        return silence_s > PEER_SILENCE_INTERVALS * self._peer_exchange.pause
+        silence_s = time.monotonic() - self._peer_exchange.peers[node].received_at
+        return silence_s > PEER_SILENCE_INTERVALS * self._peer_exchange.send_interval_s
 
     def check_zones(self) -> None:
         """Evaluate complete rounds and begin new ones; to be called about once per second."""
--- a/tidebend/scheduling/task_requests.py
+++ b/tidebend/scheduling/task_requests.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from tidebend.protocol import JobSpec, MachineType
-from tidebend.scheduling.resources import UNLIMITED_TASKS, times_fit
+from tidebend.scheduling.resources import UNLIMITED_TASKS, count_fitting_tasks
 from tidebend.scheduling.timeline import Timeline
 from tidebend.scheduling.value_functions import Value
 
@@ -43,7 +43,7 @@
 class TaskRequest:
     """A job's waiting tasks: they are alike in value and size and share one entry."""
 
-    job: str
+    job_id: str
     spec: JobSpec
     value: Value
     estimate: float  # corrected run time of a task, in seconds
@@ -59,16 +59,16 @@
     relocating: bool = False  # still in a lost zone: room is held for it, and nothing of it starts yet
 
     @property
-    def service(self) -> bool:
+    def is_service(self) -> bool:
         """Whether the tasks are replicas of a service, which never end."""
         return self.spec.kind == "service"
 
     @property
-    def gang(self) -> bool:
+    def is_gang(self) -> bool:
         """Whether the tasks have to start together; a gang of which one task waits is placed like an array."""
         return self.spec.kind == "gang" and self.waiting > 1
 
-    def zone_room(self, zone: str) -> int:
+    def zone_headroom(self, zone: str) -> int:
         """How many more tasks may be in that zone: `one_zone` and `spread` count the tasks that are allocated."""
         spec = self.spec
         if spec.one_zone and any(tasks and other != zone for other, tasks in self.tasks_by_zone.items()):
@@ -91,7 +91,7 @@
 
     def tasks(self, spec: JobSpec) -> int:
         """How many of the job's tasks are within the guarantee."""
-        return times_fit((self.cpus, self.gpus, 0.0), (spec.cpus, spec.gpus, 0.0))
+        return count_fitting_tasks((self.cpus, self.gpus, 0.0), (spec.cpus, spec.gpus, 0.0))
 
     def take(self, spec: JobSpec, tasks: int) -> None:
         """Deduct tasks that are placed."""
@@ -103,7 +103,7 @@
 class Placement:
     """Tasks of one job that are placed on one machine for the same time."""
 
-    job: str
+    job_id: str
     machine: str
     tasks: int
     start: float
@@ -115,7 +115,7 @@
     """Whether a request may be placed on a machine at all, however much is free there."""
     if request.avoids_gpus and machine.type.gpus > 0:
         return False
-    if request.service and machine.reclaimed_at < math.inf:
+    if request.is_service and machine.reclaimed_at < math.inf:
         return False
     if machine.name in request.avoided_machines:
         return False
--- a/tidebend/settings/platform_file.py
+++ b/tidebend/settings/platform_file.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tidebend.settings.knobs_file import load_knobs
-from tidebend.settings.model import Knobs, Limits, Peer, Settings, SettingsError, Team
+from tidebend.settings.model import Knobs, Peer, Settings, SettingsError, StoreLimits, Team
 from tidebend.settings.table_reader import TableReader
 
 BYTES_PER_KB = 1024
@@ -56,17 +56,17 @@
         cloud=outside.address("cloud"),
         state=outside.address("state"),
         zones=deployment.texts("zones"),
-        clock_off_s=deployment.number("clock_off_ms", default=0.0) / MS_PER_S,
+        max_clock_offset_s=deployment.number("clock_off_ms", default=0.0) / MS_PER_S,
         teams=teams,
-        start_aims=aims.start,
-        late_aims=aims.late,
+        start_objectives=aims.start,
+        deadline_objectives=aims.late,
         report_s=workers.number("report_s", LEAST_INTERVAL_S),
         lease_s=workers.number("lease_s", LEAST_INTERVAL_S),
         gang_wait_s=workers.number("gang_wait_s"),
         gang_peer_s=workers.number("gang_peer_s"),
         cancel_s=workers.number("cancel_s"),
-        state_limits=limits,
-        state_next=_next_limits(state, limits),
+        store_limits=limits,
+        next_store_limits=_next_limits(state, limits),
         cloud_rps=cloud.number("rps", LEAST_RATE),
         list_lag_s=cloud.number("list_lag_s"),
         max_sockets=int(deployment.table("resources").number("max_sockets", LEAST_SOCKETS)),
@@ -78,8 +78,8 @@
     return tuple(Peer(row.text("member"), row.text("site"), row.address("address")) for row in top.tables("peers"))
 
 
-def _limits(state: TableReader) -> Limits:
-    return Limits(
+def _limits(state: TableReader) -> StoreLimits:
+    return StoreLimits(
         rps=state.number("rps", LEAST_RATE),
         write_rps=state.number("write_rps", LEAST_RATE),
         value_bytes=int(state.number("value_kb", LEAST_VALUE_KB) * BYTES_PER_KB),
@@ -87,13 +87,13 @@
     )
 
 
-def _next_limits(state: TableReader, now: Limits) -> Limits:
+def _next_limits(state: TableReader, now: StoreLimits) -> StoreLimits:
     """`state.next` tells of limits to come; what it leaves out stays as it is, and none grows."""
     if "next" not in state:
         return now
     table = state.table("next")
     value_kb = now.value_bytes / BYTES_PER_KB
-    return Limits(
+    return StoreLimits(
         rps=min(now.rps, table.number("rps", LEAST_RATE, default=now.rps)),
         write_rps=min(now.write_rps, table.number("write_rps", LEAST_RATE, default=now.write_rps)),
         value_bytes=min(
