--- a/tidebend/controller/workers/zone_probe.py
+++ b/tidebend/controller/workers/zone_probe.py
@@ -68,7 +68,7 @@
 
     Without probes, one holder after another found a zone unreachable, each only after waiting for its machines to
     become unresponsive. By then the zone's own controller had stopped answering its workers, and all tasks there were
-    lost at once. Probes don't end tasks: an allocation is removed only on proof that its task no longer runs.
+    lost at the same time. Probes don't end tasks: an allocation is removed only on proof that its task no longer runs.
     """
 
     def __init__(
--- a/tidebend/protocol/domain.py
+++ b/tidebend/protocol/domain.py
@@ -170,7 +170,7 @@
     session: int  # increases each time the worker's lease expires
     sequence: int  # increases with each message; orders the messages of a session
     token: int  # highest fencing token that the worker has seen
-    notice_s: float | None  # seconds until the cloud reclaims the machine; None: no notice
+    reclaim_in_s: float | None  # until the cloud reclaims the machine; None: not announced
     tasks: tuple[TaskReport, ...]
 
 
--- a/tidebend/protocol/reports.py
+++ b/tidebend/protocol/reports.py
@@ -32,8 +32,8 @@
 # Operations of a command: domain -> name on the wire.
 WIRE_OPERATIONS = {COMMAND_START: "start", COMMAND_STOP: "kill", COMMAND_FORGET: "clear"}
 
-# A notice may lie in the past: the machine's reclaim time may pass before the report arrives.
-MIN_NOTICE_S = -1e9
+# May be negative: the machine's reclaim time may pass before the report arrives.
+MIN_RECLAIM_IN_S = -1e9
 
 
 def _task(row: Any) -> TaskReport:
@@ -71,7 +71,7 @@
     if not isinstance(body, dict):
         raise InvalidMessageError("the body must be a JSON object")
     tasks = _tasks(body)
-    notice = body.get("warningS")
+    reclaim_in_s = body.get("warningS")
     machine = text_field(body, "vessel")
     if not MACHINE_NAME.match(machine):
         raise InvalidMessageError("vessel must be a valid machine name")
@@ -84,7 +84,7 @@
         session=counter_field(body, "watch"),
         sequence=counter_field(body, "tally"),
         token=counter_field(body, "helm"),
-        notice_s=None if notice is None else number_field(body, "warningS", MIN_NOTICE_S),
+        reclaim_in_s=None if reclaim_in_s is None else number_field(body, "warningS", MIN_RECLAIM_IN_S),
         tasks=tasks,
     )
 
--- a/tidebend/protocol/state.py
+++ b/tidebend/protocol/state.py
@@ -49,7 +49,7 @@
     return {"put": key, "v": value, "mooring": lease}
 
 
-def transaction(conditions: dict[str, int], writes: list[Write]) -> dict[str, Any]:
+def transaction_request(conditions: dict[str, int], writes: list[Write]) -> dict[str, Any]:
     """Return the body of a transaction: applies all writes if each key has the given version (0: is absent)."""
     return {
         "if": [{"k": key, "stamp": version} for key, version in conditions.items()],
