--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -219,7 +219,7 @@
             if (is_gang or left <= max(2, MOST_TASKS // 8)) and chance.random() < cancelled_share:
                 world.user("cancel", "req-a", chance.choice(world.nodes))
             else:
-                controller.job_writer.change(
+                controller.job_writer.write_edit(
                     "req-a",
                     lambda job, _, ended=ended, done=done: job.with_ended_tasks(ended, done & job.all_tasks),
                     {},
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -99,7 +99,7 @@
             return None
         return job.with_allocations([Allocation(machine, 1, job.last_attempt + 1, free, 0.0, "north")])
 
-    return controller.job_writer.change(name, edit, conditions or {})
+    return controller.job_writer.write_edit(name, edit, conditions or {})
 
 
 def test_two_holders_do_not_claim_the_same_task(world):
@@ -302,7 +302,7 @@
     done = job.allocated & int("01" * 50_000, 2)
     while first.job_cache.get("a").allocations:
         ended = UnrecordedCompletions(everything, done)
-        assert first.job_writer.change(
+        assert first.job_writer.write_edit(
             "a", lambda job, _, ended=ended: first.scheduling_loop.completions.job_with_completions(job, _, ended), {}
         )
     after = first.job_cache.get("a")
@@ -311,7 +311,7 @@
     assert replace(second.job_cache.get("a"), chunks=None) == replace(after, chunks=None)
     # cancelled, its parts go first and the team's record is as if it had never been
     while first.job_cache.get("a"):
-        assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
+        assert first.job_writer.write_edit("a", lambda job, _: replace(job, cancelled=True), {})
     assert first.job_cache.team("team").charged == (0.0, 0.0)
     assert not first.job_cache.chunk_versions("a")
     assert max(changes for changes, _ in largest) <= 4
@@ -326,7 +326,7 @@
     def edit(job, usage):
         return job.with_allocations([Allocation("vm-000000", 1, job.last_attempt + 1, 1, 0.0, "north")])
 
-    assert list(first.job_writer.change_all([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
+    assert list(first.job_writer.write_edits([JobEdit("a", edit), JobEdit("b", edit)])) == ["b"]
     assert not first.job_cache.get("a").allocations
 
 
@@ -343,7 +343,7 @@
         free = job.pending & 0b110
         return job.with_allocations([Allocation("vm-000002", 1, job.last_attempt + 1, free, 0.0, "north")])
 
-    assert first.job_writer.change("a", edit, {})
+    assert first.job_writer.write_edit("a", edit, {})
     held = {allocation.machine: allocation.tasks for allocation in first.job_cache.get("a").allocations}
     assert held == {"vm-000000": 0b1, "vm-000001": 0b10, "vm-000002": 0b100}
 
@@ -356,13 +356,13 @@
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
-    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks(ended, 1), {})
+    assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks(ended, 1), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 8.0)
     second.cache.catch_up(0.0, "claim")
     assert allocation(second, "b", "vm-000001", 3) is None  # only one more fits
     assert allocation(second, "b", "vm-000001", 1) is not None
     first.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 2}, 2), {})
+    assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 2}, 2), {})
     assert (first.job_cache.team("team").cpus, first.job_cache.team("team").charged[0]) == (4.0, 4.0)
     second.cache.catch_up(0.0, "claim")
     assert second.job_cache.team("team").cpus == 4.0
@@ -372,7 +372,7 @@
     first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     second.cache.catch_up(0.0, "claim")
-    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 1), {})
+    assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 1), {})
     assert second.job_cache.team("team").cpus == 8.0
     assert allocation(second, "b", "vm-000001", 1) is None
 
@@ -414,7 +414,7 @@
             return None
         return job.with_allocations([Allocation(f"vm-{zone}", 1, job.last_attempt + 1, wanted, 0.0, zone)])
 
-    return controller.job_writer.change(name, edit, dict([controller.coordinator.condition(grant)]))
+    return controller.job_writer.write_edit(name, edit, dict([controller.coordinator.condition(grant)]))
 
 
 def test_holders_of_two_zones_use_a_limit_up_and_never_more_whatever_they_know_of_each_other(world):
@@ -471,7 +471,7 @@
         return job.with_allocations([Allocation("vm-000000", 1, 1, 1, 0.0, "north")])
 
     before = world.state.revision
-    changed = first.job_writer.change_all([JobEdit(name, make) for name in "abc"])
+    changed = first.job_writer.write_edits([JobEdit(name, make) for name in "abc"])
     assert sorted(changed) == ["a", "b"]  # the third would be over the limit
     assert world.state.revision == before + 1
 
@@ -481,7 +481,7 @@
     team's usage look smaller than it is."""
     first, second = stale_pair(old_world, a=spec(), b=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
-    assert first.job_writer.change("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 0), {})
+    assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
 
     def paged(prefix, after):
@@ -489,7 +489,7 @@
         if after is None:
             page = [row for row in rows if row[0] <= JOB_PREFIX + "a"]
             # between the pages the job ends for good, and its team's record with it
-            assert first.job_writer.change("a", lambda job, _: replace(job, cancelled=True), {})
+            assert first.job_writer.write_edit("a", lambda job, _: replace(job, cancelled=True), {})
             return page, True, revision
         return [row for row in rows if row[0] > after], False, revision
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -138,7 +138,7 @@
         world.steady += 5.0
         assert first.coordinator.renew_lease()
         first.state.get("tidebend/final/req-none")
-        first.job_writer.change("req-a", lambda job, _: job, {})
+        first.job_writer.write_edit("req-a", lambda job, _: job, {})
         assert first.cache.as_of == began
         assert first.cache.age_s >= 5.0
         del world.unread["n0"]
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -113,7 +113,7 @@
     assert {type(value) for value in values} == {str, dict}
     for value in values:
         final = unpack_final(value)
-        assert as_stored(pack_final(final.state, final.at, plain=isinstance(value, str))) == value
+        assert as_stored(pack_final(final.state, final.at, without_time=isinstance(value, str))) == value
         assert final == (FinalState(value, 0.0) if isinstance(value, str) else (value["state"], value["at"]))
 
 
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -44,12 +44,12 @@
     first, _ = shared(world)
     held = dict([first.coordinator.condition(first.coordinator.grant("north.0"))])
     assert claim_in(first, "north", "a", 0b11111111) is not None  # all of the limit
-    assert first.job_writer.change_all([JobEdit("b", claiming(first, 0b11), held)]) == {}
+    assert first.job_writer.write_edits([JobEdit("b", claiming(first, 0b11), held)]) == {}
     # the ends' own condition fails: nobody may use what they would have freed
     lost = JobEdit("a", ending(0b11), {"tidebend/live/block/north.0": 1})
-    assert first.job_writer.change_all([lost, JobEdit("b", claiming(first, 0b11), held)]) == {}
+    assert first.job_writer.write_edits([lost, JobEdit("b", claiming(first, 0b11), held)]) == {}
     before = world.state.revision
-    made = first.job_writer.change_all([JobEdit("a", ending(0b11), held), JobEdit("b", claiming(first, 0b11), held)])
+    made = first.job_writer.write_edits([JobEdit("a", ending(0b11), held), JobEdit("b", claiming(first, 0b11), held)])
     assert sorted(made) == ["a", "b"]
     assert world.state.revision == before + 1
     assert first.job_cache.used("team") == (8.0, 0.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -58,9 +58,9 @@
     assert job_cache.team("team").cpus == pytest.approx(SAMPLES["items"]["tidebend/live/team/team"][0] - ended)
     assert job_cache.final_state("req-a") == "done"
     assert job_cache.final_state("req-c") == "cancelled"
-    assert unpack_final(pack_final("done", 5.0, plain=True)) == ("done", 0.0)
-    assert pack_final("done", 5.0, plain=True) == SAMPLES["items"]["tidebend/final/req-a"]
-    assert unpack_final(pack_final("done", 5.0, plain=False)) == ("done", 5.0)
+    assert unpack_final(pack_final("done", 5.0, without_time=True)) == ("done", 0.0)
+    assert pack_final("done", 5.0, without_time=True) == SAMPLES["items"]["tidebend/final/req-a"]
+    assert unpack_final(pack_final("done", 5.0, without_time=False)) == ("done", 5.0)
 
 
 def test_until_the_format_is_raised_everything_has_productions_structure(tmp_path):
--- a/tidebend/cluster_state/final_states.py
+++ b/tidebend/cluster_state/final_states.py
@@ -24,6 +24,6 @@
     return FinalState(value["state"], value["at"])
 
 
-def pack_final(state: str, at: float, plain: bool) -> Any:
-    """Return the final record of a job; with `plain` in the first format version, which drops the time."""
-    return state if plain else {"state": state, "at": round(at, 3)}
+def pack_final(state: str, at: float, without_time: bool) -> Any:
+    """Return the final record of a job; with `without_time` in the first format version, which drops the time."""
+    return state if without_time else {"state": state, "at": round(at, 3)}
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -126,7 +126,7 @@
                 return _no_such_job()
             if _is_final(found):
                 return found
-            self._job_writer.change(job_id, _cancelled_unless_done, conditions={})
+            self._job_writer.write_edit(job_id, _cancelled_unless_done, conditions={})
             answer = self.find(job_id)
             if answer is not None and _is_final(answer):
                 log.info("job %s: %s, as of revision %d", job_id, answer.body["tide"], self._cache.revision)
@@ -187,7 +187,7 @@
             not_ready = self._reason_not_ready(job)
             if not_ready is not None:
                 return unavailable_reply(not_ready)
-            job = self._job_writer.record_limits.in_recorded_form(job)
+            job = self._job_writer.record_limits.in_stored_form(job)
             self._check(job)
         except SubmissionRefusedError as refusal:
             # what was accepted once is never refused, whatever the repeated body says and whatever is known by now
--- a/tidebend/controller/autoscaling/machine_releaser.py
+++ b/tidebend/controller/autoscaling/machine_releaser.py
@@ -101,7 +101,7 @@
 
         jobs = sorted({job.id for machine in machines for job, _ in self._job_cache.allocations_on(machine)})
         try:
-            self._job_writer.change_all([JobEdit(job, edit) for job in jobs])
+            self._job_writer.write_edits([JobEdit(job, edit) for job in jobs])
         except (NotExecutedError, OutcomeUnknownError) as error:
             log.info("%s keep allocations on machines that are gone: %s", ", ".join(jobs), error)
             return
--- a/tidebend/controller/records/cancellation_sealer.py
+++ b/tidebend/controller/records/cancellation_sealer.py
@@ -28,7 +28,7 @@
     def seal(self, job_id: str) -> None:
         """Make sure that a job that is known to be cancelled stays so, whoever recorded it.
 
-        Raises `NotExecutedError` if that can't be had now, or what `JobWriter.change_all` raises.
+        Raises `NotExecutedError` if that can't be had now, or what `JobWriter.write_edits` raises.
         """
         if not self._needs_sealing(job_id):
             return
@@ -39,14 +39,15 @@
     def seal_all(self) -> None:
         """Seal all cancellations that are known, ahead of the end of the last tasks.
 
-        Several controllers may try at the same time: the first one succeeds. Raises what `JobWriter.change_all` raises.
+        Several controllers may try at the same time: the first one succeeds. Raises what
+        `JobWriter.write_edits` raises.
         """
         unsealed = self._job_cache.unsealed()
         if unsealed:
             self._write(unsealed, ON_SIGHT_PATIENCE_S)
 
     def _write(self, job_ids: list[str], patience: float) -> None:
-        self._job_writer.change_all([JobEdit(job_id, _sealed) for job_id in job_ids], patience)
+        self._job_writer.write_edits([JobEdit(job_id, _sealed) for job_id in job_ids], patience)
 
     def _needs_sealing(self, job_id: str) -> bool:
         job = self._job_cache.get(job_id)
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -79,7 +79,7 @@
 
         Urgent are those of jobs other than arrays, the last ones of a job in our shards, and those of a team that has
         reached its limit. The others are also written together with the job's next allocation. Raises
-        `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.change_all` does.
+        `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.write_edits` does.
         """
         now = time.monotonic()
         batch_delay_s = self._batch_delay_s_for(len(unrecorded))
@@ -92,7 +92,7 @@
             if self._must_be_recorded(job, completions, waited_s, batch_delay_s):
                 edits.append(self._edit(job_id, completions))
         if edits:
-            recorded = self._job_writer.change_all(edits)
+            recorded = self._job_writer.write_edits(edits)
             for job_id in recorded:
                 self.mark_recorded(job_id)
             log.debug("ends recorded for %s", ", ".join(recorded))
--- a/tidebend/controller/records/completion_tracker.py
+++ b/tidebend/controller/records/completion_tracker.py
@@ -54,7 +54,7 @@
         self._outcomes = TaskOutcomeObserver(estimates, self._retry_backoffs)
         self._uncertain_starts = UncertainStartResolver(settings, coordinator, machine_registry)
         self.unrecorded: dict[str, UnrecordedCompletions] = {}  # by job
-        self.freed: dict[
+        self.freed_by_team: dict[
             str, QuotaAmountLike
         ] = {}  # team -> what of its limit the unrecorded completions make available
 
@@ -71,7 +71,7 @@
     def collect(self) -> None:
         """Find the completions that are confirmed by heartbeats of workers that have confirmed our fencing token.
 
-        Also sends the stops of cancelled jobs, and replaces `unrecorded` and `freed`.
+        Also sends the stops of cancelled jobs, and replaces `unrecorded` and `freed_by_team`.
         """
         found: dict[str, UnrecordedCompletions] = {}
         for grant in self.coordinator.grants():
@@ -83,7 +83,7 @@
         self._retry_backoffs.forget_finished_jobs()
         self._uncertain_starts.resolve()
         self.unrecorded = found
-        self.freed = self._freed_by_team(found)
+        self.freed_by_team = self._freed_by_team(found)
         self.recorder.forget_except(found)
 
     def _add_jobs_without_final_record(self, found: dict[str, UnrecordedCompletions]) -> set[str]:
@@ -161,7 +161,7 @@
     def record_completions(self) -> None:
         """Write the completions that have been gathered for long enough, and the urgent ones.
 
-        Raises `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.change_all` does.
+        Raises `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.write_edits` does.
         """
         self.recorder.record(self.unrecorded)
 
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class _Progress:
-    """The state of one call of `change_all`."""
+    """The state of one call of `write_edits`."""
 
     remaining: list[JobEdit]
     tries_left: int
@@ -77,14 +77,16 @@
         """Our share of the state service's writes per second."""
         return self.cache.client.writes_per_s
 
-    def change(self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], patience: float = 1.0) -> Job | None:
+    def write_edit(
+        self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], patience: float = 1.0
+    ) -> Job | None:
         """Write one job's edit; None if there was nothing to write, or a condition failed.
 
-        For `apply` and `conditions` see `JobEdit`, for the rest `change_all`.
+        For `apply` and `conditions` see `JobEdit`, for the rest `write_edits`.
         """
-        return self.change_all([JobEdit(job_id, apply, conditions)], patience).get(job_id)
+        return self.write_edits([JobEdit(job_id, apply, conditions)], patience).get(job_id)
 
-    def change_all(self, edits: list[JobEdit], patience: float = 1.0, tries: int = DEFAULT_TRIES) -> dict[str, Job]:
+    def write_edits(self, edits: list[JobEdit], patience: float = 1.0, tries: int = DEFAULT_TRIES) -> dict[str, Job]:
         """Write edits, and return the changed jobs by id.
 
         An edit isn't written if there is nothing to write, if one of its own conditions failed, if the team's quota has
@@ -159,4 +161,4 @@
                 log.error("job %s: not even its description fits a record now", edit.job_id)
                 continue
             if is_split:
-                progress.changed.update(self.change_all([edit], patience, progress.tries_left))
+                progress.changed.update(self.write_edits([edit], patience, progress.tries_left))
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -69,7 +69,7 @@
             return max(chunk_bytes, default=0) <= max_bytes
         return self.can_be_split(job) or packed_bytes(job.pack()) <= max_bytes
 
-    def in_recorded_form(self, job: Job) -> Job:
+    def in_stored_form(self, job: Job) -> Job:
         """Return a new job in the form in which it is kept: with chunks if it has too many tasks for one record."""
         tasks_per_chunk = chunk_size(self.max_value_bytes)
         if self.schema_version.supports_pipelines and job.spec.tasks > tasks_per_chunk:
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -53,7 +53,7 @@
         at = time.time()
         claims = [self._claim_edit(name, group, machines, at) for name, group in placements.items()]
         edits = self._completions_before(placements) + claims
-        changed = self.job_writer.change_all(edits) if edits else {}
+        changed = self.job_writer.write_edits(edits) if edits else {}
         now = time.monotonic()
         for name, job in changed.items():
             self.completions.mark_recorded(name)
--- a/tidebend/controller/scheduler/pending_jobs.py
+++ b/tidebend/controller/scheduler/pending_jobs.py
@@ -167,7 +167,7 @@
         for name in teams:
             team = self.settings.teams.get(name)
             if team is not None:
-                used, freed = self.job_cache.used(name), self.completions.freed.get(name, (0.0, 0.0))
+                used, freed = self.job_cache.used(name), self.completions.freed_by_team.get(name, (0.0, 0.0))
                 unmet[name] = GuaranteeBalance(team.cpus - used[0] + freed[0], team.gpus - used[1] + freed[1])
         return unmet
 
@@ -226,7 +226,7 @@
         if team is None:
             return waiting
         usage = TeamUsage(*used) if zones is None else self.job_cache.team(spec.team, zones)
-        usage = usage.minus(self.completions.freed.get(spec.team, (0.0, 0.0)))
+        usage = usage.minus(self.completions.freed_by_team.get(spec.team, (0.0, 0.0)))
         headroom = waiting
         if team.cpus_max is not None and spec.cpus > 0:
             headroom = min(headroom, int((team.cpus_max - usage.cpus + EPSILON) // spec.cpus))
@@ -239,7 +239,7 @@
         team = self.settings.teams.get(spec.team)
         if team is None:
             return False
-        freed = self.completions.freed.get(spec.team, (0.0, 0.0))
+        freed = self.completions.freed_by_team.get(spec.team, (0.0, 0.0))
         if used[0] - freed[0] + spec.cpus > team.cpus + EPSILON:
             return False
         return spec.gpus <= 0 or used[1] - freed[1] + spec.gpus <= team.gpus + EPSILON
