--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -21,7 +21,7 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import JOB_PREFIX, Job
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
-from tidebend.coordination.schema_version import FORMAT
+from tidebend.coordination.schema_version import SCHEMA_VERSION_KEY
 from tidebend.kvclient import NotExecutedError, OutcomeUnknownError
 from tidebend.protocol import parse_job
 
@@ -180,7 +180,7 @@
 def test_a_cancellation_that_production_recorded_is_sealed_after_the_rise_of_the_format_too():
     """A transaction of production's that got no answer may be executed later still."""
     for world in begun():
-        assert FORMAT in world.state.items
+        assert SCHEMA_VERSION_KEY in world.state.items
         job = Job("req-a", 0, parse_job({**JOB, "pieces": 2}), 0.0, cancelled=True)
         record = replace(job, allocations=(Allocation("vm-000000", 1, 1, 3, 0.0, "north"),)).pack()
         del record["done"]  # as production writes it
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -20,8 +20,8 @@
 from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
 from tidebend.cluster_state.record_chunks import CHUNK_PREFIX, Chunk, ChunkIndex
 from tidebend.cluster_state.task_bitmap import parse_ranges
-from tidebend.coordination.records import LEADER, NODE, SHARD, ZONE
-from tidebend.coordination.schema_version import FORMAT, READS
+from tidebend.coordination.records import LEADER_KEY, NODE_PREFIX, SHARD_PREFIX, ZONE_PREFIX
+from tidebend.coordination.schema_version import READABLE_VERSION_PREFIX, SCHEMA_VERSION_KEY
 from tidebend.kvclient import FINAL
 from tidebend.quota import QUOTA_PREFIX, TEAM_PREFIX, QuotaAmount, TeamUsage, UsageIndex, ZoneQuotas
 
@@ -181,7 +181,20 @@
 
 @pytest.mark.parametrize(
     "prefix",
-    [LEADER, NODE, SHARD, ZONE, FORMAT, READS, TEAM_PREFIX, QUOTA_PREFIX, FINAL, JOB_PREFIX, HEAD_PREFIX, CHUNK_PREFIX],
+    [
+        LEADER_KEY,
+        NODE_PREFIX,
+        SHARD_PREFIX,
+        ZONE_PREFIX,
+        SCHEMA_VERSION_KEY,
+        READABLE_VERSION_PREFIX,
+        TEAM_PREFIX,
+        QUOTA_PREFIX,
+        FINAL,
+        JOB_PREFIX,
+        HEAD_PREFIX,
+        CHUNK_PREFIX,
+    ],
 )
 def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
     def forms(rows):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.final_states import pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
-from tidebend.coordination.schema_version import FORMAT, READS
+from tidebend.coordination.schema_version import READABLE_VERSION_PREFIX, SCHEMA_VERSION_KEY
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
 SCENE = """machines 2 box north
@@ -71,8 +71,10 @@
     for key, value in [*SAMPLES["items"].items(), *((row["key"], row["value"]) for row in SAMPLES["jobs"])]:
         known.setdefault(kind(key), []).append(shape(value))
     written = [(row["put"], row["v"]) for row in world.state.changes if "put" in row]
-    assert {kind(key) for key, _ in written} - set(known) == {kind(READS + "n0")}  # which production never looks at
-    assert FORMAT not in world.state.items
+    assert {kind(key) for key, _ in written} - set(known) == {
+        kind(READABLE_VERSION_PREFIX + "n0")
+    }  # which production never looks at
+    assert SCHEMA_VERSION_KEY not in world.state.items
     for key, value in written:
         if kind(key) == kind(JOB_PREFIX):
             assert len(value["spec"]) == len(SAMPLES["jobs"][0]["value"]["spec"])
@@ -122,7 +124,7 @@
         assert HEAD_PREFIX + "req-b" not in world.state.items
         for _ in range(80):
             world.step()
-        assert world.state.items[FORMAT][0] == {"version": 2}
+        assert world.state.items[SCHEMA_VERSION_KEY][0] == {"version": 2}
         assert world.controllers["n0"].job_api.submit(raw).status == 201
         assert HEAD_PREFIX + "req-b" in world.state.items
         assert JOB_PREFIX + "req-b" not in world.state.items
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,7 @@
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.coordination import PeerMachine
-from tidebend.coordination.records import ZONE
+from tidebend.coordination.records import ZONE_PREFIX
 from tidebend.zone_failover import (
     IsolationWindow,
     MachineContents,
@@ -108,7 +108,7 @@
     settings = outside.settings
     assert took <= settings.controller_lease_s + 2.0 * settings.report_s + 2.0
     # and it is on record for whoever is started meanwhile
-    value = world.state.items[ZONE + "north"][0]
+    value = world.state.items[ZONE_PREFIX + "north"][0]
     assert value["node"] == "n0"
     assert value["held"] is True
     world.crash("n1", 0.25)
@@ -123,8 +123,8 @@
 
 def test_the_record_of_a_lost_zone_goes_when_its_controller_is_back(world):
     cut_off(world, "n0", "north", 15.0)
-    assert seconds_until(world, lambda: ZONE + "north" in world.state.items) < 15.0
-    assert seconds_until(world, lambda: ZONE + "north" not in world.state.items) < 15.0
+    assert seconds_until(world, lambda: ZONE_PREFIX + "north" in world.state.items) < 15.0
+    assert seconds_until(world, lambda: ZONE_PREFIX + "north" not in world.state.items) < 15.0
     assert seconds_until(world, lambda: world.controllers["n0"].coordinator.grant("north.0") is not None) < 10.0
 
 
--- a/tidebend/cli.py
+++ b/tidebend/cli.py
@@ -77,9 +77,9 @@
         print(f"{arguments.config}: fine for {settings.name} of {len(settings.peers) + 1} controllers")
         return 0
     if arguments.command == "format":
-        from tidebend.coordination.schema_version import show
+        from tidebend.coordination.schema_version import print_schema_versions
 
-        return show(settings)
+        return print_schema_versions(settings)
     from tidebend.controller import run  # the rest is imported only when it is needed
 
     run(settings)
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -15,7 +15,7 @@
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import packed_bytes
-from tidebend.coordination.schema_version import FORMAT, SchemaVersion
+from tidebend.coordination.schema_version import SCHEMA_VERSION_KEY, SchemaVersion
 from tidebend.kvclient import (
     FINAL,
     ConflictError,
@@ -254,7 +254,7 @@
         """Write a new job's record if the job has no record of any form, and answer by what is recorded then."""
         conditions = {JOB_PREFIX + job.id: 0, HEAD_PREFIX + job.id: 0, FINAL + job.id: 0}
         if job.key != JOB_PREFIX + job.id:
-            conditions[FORMAT] = self._cache.get(FORMAT)[1]
+            conditions[SCHEMA_VERSION_KEY] = self._cache.get(SCHEMA_VERSION_KEY)[1]
         try:
             self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", retry_for_s=SUBMIT_PATIENCE_S)
         except ConflictError:
--- a/tidebend/controller/controller.py
+++ b/tidebend/controller/controller.py
@@ -29,7 +29,7 @@
 from tidebend.controller.workers.heartbeats import HeartbeatHandler
 from tidebend.controller.workers.zone_probe import ZoneProbe
 from tidebend.coordination import Coordinator, PeerExchange
-from tidebend.coordination.schema_version import FORMAT, NEWEST, SchemaVersion
+from tidebend.coordination.schema_version import NEWEST_VERSION, SCHEMA_VERSION_KEY, SchemaVersion
 from tidebend.kvclient import FINAL, KeyValueClient, WatchCache
 from tidebend.settings import Settings
 from tidebend.transport import HttpClient, Reply, Server
@@ -208,7 +208,7 @@
     def _on_change(self, key: str, value: Any, version: int) -> None:
         """Pass a changed record on to those who keep or watch it; called under the caches' lock."""
         self.job_cache.on_change(key, value, version)
-        if key == FORMAT and self.schema_version.supports_pipelines:
+        if key == SCHEMA_VERSION_KEY and self.schema_version.supports_pipelines:
             # from now on the limits that are announced for the time after an upgrade may be in force
             self.state.set_limits(self.settings.next_store_limits)
             self.record_limits.apply(self.settings.next_store_limits, self.state.writes_per_s)
@@ -260,6 +260,6 @@
     threading.stack_size(STACK_BYTES)
     gc.set_threshold(*GC_THRESHOLDS)
     server = Controller(settings).start()
-    log.info("version %s, reads up to schema version %d", __version__, NEWEST)
+    log.info("version %s, reads up to schema version %d", __version__, NEWEST_VERSION)
     log.info("%s in %s serves on %s:%d", settings.name, settings.zone, *settings.listen)
     server.serve_forever(poll_interval=5.0)
--- a/tidebend/controller/quota/quota_rebalancing.py
+++ b/tidebend/controller/quota/quota_rebalancing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from tidebend.cluster_state.job_cache import JobCache
-from tidebend.coordination.schema_version import FORMAT, SchemaVersion
+from tidebend.coordination.schema_version import SCHEMA_VERSION_KEY, SchemaVersion
 from tidebend.kvclient import ConflictError, NotExecutedError, OutcomeUnknownError, WatchCache
 from tidebend.protocol import Write
 from tidebend.quota import (
@@ -148,7 +148,7 @@
                 {
                     TEAM_PREFIX + team.name: usage.version,
                     QUOTA_PREFIX + team.name: 0,
-                    FORMAT: self.cache.get(FORMAT)[1],
+                    SCHEMA_VERSION_KEY: self.cache.get(SCHEMA_VERSION_KEY)[1],
                 },
                 [
                     (TEAM_PREFIX + team.name, EXHAUSTED, None),
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -10,7 +10,7 @@
 from tidebend.cluster_state.record_chunks import Chunk, ChunkIndex, chunk_size
 from tidebend.controller.records.job_transaction import chunk_key, delete, put
 from tidebend.controller.records.record_limits import ALLOCATIONS_SHARE, RecordLimits, packed_bytes
-from tidebend.coordination.schema_version import FORMAT
+from tidebend.coordination.schema_version import SCHEMA_VERSION_KEY
 from tidebend.kvclient import ConflictError, WatchCache
 from tidebend.protocol import Write
 
@@ -113,7 +113,7 @@
 
     def _write_head(self, job: Job, head: Job, patience: float) -> None:
         """Replace the record by the head, under the head's key."""
-        conditions = {job.key: job.version, FORMAT: self._cache.get(FORMAT)[1]}
+        conditions = {job.key: job.version, SCHEMA_VERSION_KEY: self._cache.get(SCHEMA_VERSION_KEY)[1]}
         writes: list[Write] = []
         if job.key != head.key:
             conditions[head.key] = 0
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable, Mapping
 
 from tidebend.coordination.leader_election import LeaderElection
-from tidebend.coordination.records import LEADER
+from tidebend.coordination.records import LEADER_KEY
 from tidebend.coordination.schema_version import SchemaVersion
 from tidebend.coordination.session_lease import LeaseRenewal, NodeAnnouncement, SessionLease
 from tidebend.coordination.shard_assignment import ShardAssignment
@@ -120,7 +120,7 @@
         self.schema_version.announce()
         term = self.term
         if term is not None:
-            self.schema_version.upgrade_if_all_support({LEADER: term})
+            self.schema_version.upgrade_if_all_support({LEADER_KEY: term})
 
     # Our lease
 
--- a/tidebend/coordination/leader_election.py
+++ b/tidebend/coordination/leader_election.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from tidebend.coordination.records import LEADER, LeaderRecord
+from tidebend.coordination.records import LEADER_KEY, LeaderRecord
 from tidebend.coordination.session_lease import SessionLease
 from tidebend.kvclient import ConflictError, RequestKind, WatchCache
 from tidebend.protocol import Write
@@ -30,14 +30,14 @@
     @property
     def term(self) -> int | None:
         """The revision of our election while we lead, else None."""
-        value, version = self._cache.get(LEADER)
+        value, version = self._cache.get(LEADER_KEY)
         if value is None or not self._is_ours_now(LeaderRecord.unpack(value)):
             return None
         return version if self._session_lease.is_valid else None
 
     def run_for_leader(self) -> int | None:
         """Become leader if there is none; the term if we lead now. Raises as the client does."""
-        value, version = self._cache.get(LEADER)
+        value, version = self._cache.get(LEADER_KEY)
         if value is None or self._is_from_former_lease(LeaderRecord.unpack(value)):
             if self._session_lease.lease is None or not self._session_lease.is_valid:
                 return None
@@ -52,9 +52,9 @@
         lease = self._session_lease.lease
         if lease is None:
             return False  # it has ended while we waited
-        writes: list[Write] = [(LEADER, LeaderRecord(self._name, lease).pack(), lease)]
+        writes: list[Write] = [(LEADER_KEY, LeaderRecord(self._name, lease).pack(), lease)]
         try:
-            revision = self._cache.write({LEADER: version}, writes, RequestKind.LEASE)
+            revision = self._cache.write({LEADER_KEY: version}, writes, RequestKind.LEASE)
         except ConflictError:
             self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM)
             return False
--- a/tidebend/coordination/records.py
+++ b/tidebend/coordination/records.py
@@ -12,12 +12,12 @@
 
 from tidebend.kvclient import LIVE
 
-LEADER = LIVE + "leader"
-NODE = LIVE + "node/"
-SHARD = LIVE + "block/"
-ZONE = LIVE + "zone/"
-FORMAT = LIVE + "format"
-READS = LIVE + "reads/"
+LEADER_KEY = LIVE + "leader"
+NODE_PREFIX = LIVE + "node/"
+SHARD_PREFIX = LIVE + "block/"
+ZONE_PREFIX = LIVE + "zone/"
+SCHEMA_VERSION_KEY = LIVE + "format"
+READABLE_VERSION_PREFIX = LIVE + "reads/"
 
 
 @dataclass(frozen=True, slots=True)
--- a/tidebend/coordination/session_lease.py
+++ b/tidebend/coordination/session_lease.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from tidebend.coordination.records import NODE, NodeRecord
+from tidebend.coordination.records import NODE_PREFIX, NodeRecord
 from tidebend.kvclient import (
     NEVER,
     ConflictError,
@@ -63,7 +63,7 @@
         self, name: str, zone: str, session_lease: SessionLease, cache: WatchCache, read_timeout_s: float
     ) -> None:
         """`read_timeout_s`: how long to wait for a read after a conflict."""
-        self._key = NODE + name
+        self._key = NODE_PREFIX + name
         self._zone = zone
         self._session_lease = session_lease
         self._cache = cache
--- a/tidebend/coordination/shard_assignment.py
+++ b/tidebend/coordination/shard_assignment.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from tidebend.coordination.records import NODE, NodeRecord
+from tidebend.coordination.records import NODE_PREFIX, NodeRecord
 from tidebend.coordination.shards import ShardRecords, VersionedShardRecord, shard_of, zone_of
 from tidebend.kvclient import WatchCache
 from tidebend.settings import Settings
@@ -122,7 +122,8 @@
 
     def _read_cluster(self, now: float) -> Cluster:
         live = {
-            key[len(NODE) :]: NodeRecord.unpack(value) for key, (value, _) in self._cache.get_by_prefix(NODE).items()
+            key[len(NODE_PREFIX) :]: NodeRecord.unpack(value)
+            for key, (value, _) in self._cache.get_by_prefix(NODE_PREFIX).items()
         }
         self._live_since = {name: self._live_since.get(name, now) for name in live}
         return Cluster(self._names, live, frozenset(self._exposed(now)))
--- a/tidebend/coordination/shard_holdings.py
+++ b/tidebend/coordination/shard_holdings.py
@@ -7,7 +7,7 @@
 import time
 from collections.abc import Callable, Mapping
 
-from tidebend.coordination.records import SHARD
+from tidebend.coordination.records import SHARD_PREFIX
 from tidebend.coordination.session_lease import SessionLease
 from tidebend.coordination.shards import NO_TOKEN, ShardGrant, ShardHolder, ShardRecords, zone_of
 from tidebend.kvclient import KeyValueError, RequestKind, WatchCache
@@ -76,7 +76,7 @@
 
     def condition(self, grant: ShardGrant) -> tuple[str, int]:
         """The transaction condition (key, version) that the grant is still the newest one."""
-        return SHARD + grant.shard, grant.token
+        return SHARD_PREFIX + grant.shard, grant.token
 
     # What others know
 
@@ -160,7 +160,7 @@
         """
         if not self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM):
             return
-        tokens = {shard: token for shard, token in tokens.items() if self._cache.get(SHARD + shard)[1] == token}
+        tokens = {shard: token for shard, token in tokens.items() if self._cache.get(SHARD_PREFIX + shard)[1] == token}
         now = time.monotonic()
         with self._lock:
             grants = [
--- a/tidebend/coordination/shards.py
+++ b/tidebend/coordination/shards.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from tidebend.coordination.records import SHARD, ShardRecord
+from tidebend.coordination.records import SHARD_PREFIX, ShardRecord
 from tidebend.kvclient import LeaseNotFoundError, RequestKind, WatchCache
 
 log = logging.getLogger("coordination")
@@ -60,13 +60,13 @@
     def all(self) -> dict[str, VersionedShardRecord]:
         """The records by shard, as of the cache."""
         return {
-            key[len(SHARD) :]: VersionedShardRecord(ShardRecord.unpack(value), version)
-            for key, (value, version) in self._cache.get_by_prefix(SHARD).items()
+            key[len(SHARD_PREFIX) :]: VersionedShardRecord(ShardRecord.unpack(value), version)
+            for key, (value, version) in self._cache.get_by_prefix(SHARD_PREFIX).items()
         }
 
     def get(self, shard: str) -> VersionedShardRecord | None:
         """One shard's record, as of the cache."""
-        value, version = self._cache.get(SHARD + shard)
+        value, version = self._cache.get(SHARD_PREFIX + shard)
         return None if value is None else VersionedShardRecord(ShardRecord.unpack(value), version)
 
     def holders(self) -> dict[str, ShardHolder]:
@@ -78,7 +78,7 @@
 
         NO_TOKEN if the holder's lease has ended; else raises as the client does.
         """
-        key = SHARD + shard
+        key = SHARD_PREFIX + shard
         try:
             token = self._cache.write(
                 {key: version}, [(key, ShardRecord(holder, lease).pack(), lease)], RequestKind.LEASE
--- a/tidebend/coordination/zone_suspicion.py
+++ b/tidebend/coordination/zone_suspicion.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tidebend.coordination.records import LEADER, NODE, ZONE, NodeRecord, ZoneRecord
+from tidebend.coordination.records import LEADER_KEY, NODE_PREFIX, ZONE_PREFIX, NodeRecord, ZoneRecord
 from tidebend.coordination.shards import shard_of, zone_of
 from tidebend.kvclient import RequestKind, WatchCache
 from tidebend.settings import Settings
@@ -99,7 +99,7 @@
         if record is not None:
             return IsolatedHolder(record.node, time.monotonic() - (time.time() - record.isolated_at))
         last = self._local_holders.last(shard)
-        if last is None or self._cache.get(NODE + last.node)[0] is not None:
+        if last is None or self._cache.get(NODE_PREFIX + last.node)[0] is not None:
             return None
         # it may have lost contact a lease before its grant ended
         return IsolatedHolder(last.node, last.seen_at - self._settings.controller_lease_s)
@@ -123,7 +123,7 @@
         Raises as the client does.
         """
         for zone in self._settings.zones:
-            value, version = self._cache.get(ZONE + zone)
+            value, version = self._cache.get(ZONE_PREFIX + zone)
             if value is None:
                 isolated = self._newly_isolated(zone)
                 if isolated is not None:
@@ -144,21 +144,21 @@
 
     def _is_over(self, zone: str, record: ZoneRecord) -> bool:
         """Whether the controller is back, or all that ran there has ended and somebody reaches the zone."""
-        if self._cache.get(NODE + record.node)[0] is not None:
+        if self._cache.get(NODE_PREFIX + record.node)[0] is not None:
             return True
         has_ended = time.time() - record.isolated_at > self._settings.cancel_s
         return has_ended and not self.is_unreachable_by_all(shard_of(zone))
 
     def _write_zone_record(self, term: int, zone: str, version: int, record: ZoneRecord | None) -> None:
         """Write a zone's record, or delete it, on condition that we still lead."""
-        key = ZONE + zone
+        key = ZONE_PREFIX + zone
         value = None if record is None else record.pack()
-        self._cache.write({LEADER: term, key: version}, [(key, value, None)], RequestKind.LEASE)
+        self._cache.write({LEADER_KEY: term, key: version}, [(key, value, None)], RequestKind.LEASE)
 
     def _zone_record(self, zone: str) -> ZoneRecord | None:
-        value, _ = self._cache.get(ZONE + zone)
+        value, _ = self._cache.get(ZONE_PREFIX + zone)
         return None if value is None else ZoneRecord.unpack(value)
 
     def _unreachable_by_node(self) -> list[tuple[str, ...]]:
-        records = self._cache.get_by_prefix(NODE).values()
+        records = self._cache.get_by_prefix(NODE_PREFIX).values()
         return [NodeRecord.unpack(value).unreachable_shards for value, _ in records]
