--- a/simulation/experiment.py
+++ b/simulation/experiment.py
@@ -127,17 +127,17 @@
 def read(path: str, changes: dict[str, str] | None = None) -> Experiment:
     """Raises HclFileError."""
     file = HclFile(path)
-    file.only("cluster", "state", "type", "team", "jobs", "trouble")
+    file.reject_unknown("cluster", "state", "type", "team", "jobs", "trouble")
     for where, text in (changes or {}).items():
         _set(file.values, where, text)
     made = Experiment(
         path.rpartition("/")[2].removesuffix(".hcl"),
         file.block("cluster", Cluster),
         file.block("state", State),
-        file.labelled("type", Kind),
-        file.labelled("team", TeamBlock),
-        file.labelled("jobs", Jobs),
-        file.labelled("trouble", Trouble),
+        file.labelled_blocks("type", Kind),
+        file.labelled_blocks("team", TeamBlock),
+        file.labelled_blocks("jobs", Jobs),
+        file.labelled_blocks("trouble", Trouble),
     )
     for name, kinds in (("type", made.kinds), ("team", made.teams), ("jobs", made.jobs)):
         if not kinds:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -11,15 +11,15 @@
 import pytest
 
 from tidebend.access import AuthenticatedServer, KeyedClient, Keyring, create_keyring, make_certificate
-from tidebend.control.api import DESCRIPTION, RAN, ControlApi
-from tidebend.control.main import SIDE_THREADS, SIDES, Control
+from tidebend.control.api import DESCRIPTION_PREFIX, RAN_ON_PREFIX, ControlApi
+from tidebend.control.main import AUXILIARY_THREADS, MAX_AUXILIARY_SERVERS, Control
 from tidebend.control.settings import load_control_settings
 from tidebend.controller import connection_limits
-from tidebend.kvstore import Engine, StateService, Write
+from tidebend.kvstore import Engine, StoreService, Write
 from tidebend.kvstore.errors import RevisionTooOldError
-from tidebend.kvstore.reads import PAGE
+from tidebend.kvstore.reads import PAGE_ITEMS
 from tidebend.kvstore.records import Change
-from tidebend.kvstore.watch_feed import MOST_CHANGES, WatchFeed
+from tidebend.kvstore.watch_feed import MAX_CHANGES, WatchFeed
 from tidebend.messages import paths
 from tidebend.protocol import store as wire
 from tidebend.provider import AgentProcesses, Kind, Provider
@@ -323,7 +323,7 @@
 def test_the_settings_take_connections_for_a_fleet_and_threads_stay_within_the_platforms(tmp_path, connections):
     settings = control_settings(tmp_path, connections)
     assert settings.connections == connections
-    inner = settings.controller(1, "127.0.0.1")
+    inner = settings.controller_settings(1, "127.0.0.1")
     assert connection_limits.max_incoming_connections(inner) >= 0.8 * connections  # bounded by the sockets only
     assert connection_limits.connection_threads(inner) > 1000
     assert connection_limits.connection_threads(inner) + connection_limits.unresponsive_threads(inner) <= 1900
@@ -334,20 +334,20 @@
     monkeypatch.setattr(resource, "getrlimit", lambda _: (1024, 1024))
     control = Control(settings, tmp_path / "data")
     try:
-        inner = settings.controller(1, "127.0.0.1")
+        inner = settings.controller_settings(1, "127.0.0.1")
         threads = connection_limits.connection_threads(inner) + connection_limits.unresponsive_threads(inner)
-        assert control.gate.max_connections == 4500
-        assert control.gate.request_queue_size == 4500 // 16
+        assert control.server.max_connections == 4500
+        assert control.server.request_queue_size == 4500 // 16
         assert "may open 1024 files" in caplog.text
-        assert control.gate._idle is not None
+        assert control.server._idle is not None
         assert (
-            control.gate._threads._max_threads
+            control.server._threads._max_threads
             + (threads - connection_limits.connection_threads(inner))
-            + SIDES * SIDE_THREADS
+            + MAX_AUXILIARY_SERVERS * AUXILIARY_THREADS
             <= 1900
         )
     finally:
-        for gate in control.gates:
+        for gate in control.servers:
             gate.server_close()
         control.engine.close()
 
@@ -401,7 +401,7 @@
 def test_the_output_of_a_job_is_found_on_any_of_its_machines(engine):
     """Only the first 1,000 by name were asked."""
     machines = [f"vm-{number:06d}" for number in range(1200)]
-    engine.transact({}, [Write(f"{RAN}job/{machine}", b"1") for machine in machines])
+    engine.transact({}, [Write(f"{RAN_ON_PREFIX}job/{machine}", b"1") for machine in machines])
     asked = []
 
     class Agent:
@@ -416,7 +416,7 @@
     assert reply.body["machine"] == machines[-1]
 
 
-@pytest.mark.parametrize("number", [0, 1, PAGE, PAGE + 1, FLEET])
+@pytest.mark.parametrize("number", [0, 1, PAGE_ITEMS, PAGE_ITEMS + 1, FLEET])
 def test_items_are_read_to_the_end(engine, number):
     if number:
         engine.transact({}, [Write(f"k/{key:06d}", b"1") for key in range(number)])
@@ -426,7 +426,7 @@
 
 def test_items_of_the_state_service_go_on_after_each_page(engine):
     engine.transact({}, [Write(f"k/{key:06d}", b"1") for key in range(FLEET)])
-    service = StateService(engine, StoreLimits(1000.0, 1000.0, 4096, 64))
+    service = StoreService(engine, StoreLimits(1000.0, 1000.0, 4096, 64))
     keys, more = [], True
     while more:
         after = keys[-1] if keys else ""
@@ -439,7 +439,7 @@
 
 def test_a_list_of_jobs_goes_on_after_each_page(engine):
     value = msgspec.json.encode({"command": ["x"]})
-    engine.transact({}, [Write(f"{DESCRIPTION}job-{number:06d}", value) for number in range(450)])
+    engine.transact({}, [Write(f"{DESCRIPTION_PREFIX}job-{number:06d}", value) for number in range(450)])
     desk = desk_of(engine, None)
     found, after, more = [], "", True
     while more:
@@ -451,7 +451,7 @@
 
 def test_whoever_is_behind_more_changes_than_are_kept_is_told_to_read_again():
     feed = WatchFeed(0)
-    feed.publish([Change(f"k/{number}", b"1", number + 1) for number in range(MOST_CHANGES + 1)], MOST_CHANGES + 1)
+    feed.publish([Change(f"k/{number}", b"1", number + 1) for number in range(MAX_CHANGES + 1)], MAX_CHANGES + 1)
     with pytest.raises(RevisionTooOldError):
-        feed.since("k/", 0, 0.0)
-    assert len(feed.since("k/", 1, 0.0)[0]) == MOST_CHANGES
+        feed.changes_since("k/", 0, 0.0)
+    assert len(feed.changes_since("k/", 1, 0.0)[0]) == MAX_CHANGES
--- a/tests/test_muster.py
+++ b/tests/test_muster.py
@@ -24,7 +24,7 @@
     def __call__(self, *phases, attempt=1):
         """Each task that has something to say says it once; what follows for each."""
         return [
-            self.musters.tell(GangMemberStatus("req-1", attempt, index, len(phases), phase)).verdict
+            self.musters.report_status(GangMemberStatus("req-1", attempt, index, len(phases), phase)).verdict
             for index, phase in enumerate(phases)
             if phase
         ]
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -29,7 +29,7 @@
     settings = load_control_settings(str(ROOT / "deploy/local.hcl"))
     assert settings.times == Times()
     assert settings.state == State()
-    assert settings.controller(1, "127.0.0.1").teams["everyone"].cpus_max is None
+    assert settings.controller_settings(1, "127.0.0.1").teams["everyone"].cpus_max is None
     assert load_agent_settings(str(ROOT / "deploy/agent.hcl")).kind == "local"
     jobs = {job.name: job for job in read_jobs(str(ROOT / "deploy/example-jobs.hcl"))}
     assert jobs["build"].awaits == (jobs["fetch"].job,)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -19,7 +19,7 @@
     DirectoryLockedError,
     Engine,
     LeaseEndedError,
-    StateService,
+    StoreService,
     StoreUnavailableError,
     Write,
 )
@@ -72,7 +72,7 @@
 
 
 def test_answers_are_the_protocols(engine):
-    service = StateService(engine, LIMITS)
+    service = StoreService(engine, LIMITS)
     for line in CALLS.strip().splitlines():
         call, _, expected = line.partition(" -> ")
         method, path, *body = call.split(" ", 2)
@@ -84,7 +84,7 @@
 
 
 def test_a_value_and_a_transaction_have_their_limits(engine):
-    service = StateService(engine, StoreLimits(1e6, 1e6, 60 * 1024, 4))
+    service = StoreService(engine, StoreLimits(1e6, 1e6, 60 * 1024, 4))
     big = "x" * (60 * 1024 - 2)
     assert service.handle("POST", "/multi", {"writes": [{"put": "a", "v": big}]})[0] == 200
     assert service.handle("POST", "/multi", {"writes": [{"put": "a", "v": big + "x"}]})[0] == 400
@@ -92,7 +92,7 @@
 
 
 def test_more_than_the_rates_is_refused_and_not_executed(engine):
-    service = StateService(engine, StoreLimits(1e6, 5.0, 1024, 4))
+    service = StoreService(engine, StoreLimits(1e6, 5.0, 1024, 4))
     statuses = [service.handle("POST", "/multi", {"writes": [{"put": f"k{n}", "v": 1}]})[0] for n in range(8)]
     assert statuses.count(200) in (5, 6)
     assert engine.count("k") == statuses.count(200)
@@ -132,7 +132,7 @@
         assert again.grant(1000) > lease  # a number is never given twice
         assert again.transact({}, [Write("x", b"1")]) > revision + 1
         # watches go on where they were, or are told to read anew
-        service = StateService(again, LIMITS)
+        service = StoreService(again, LIMITS)
         assert service.handle("GET", f"/changes?under=&from={revision}", None)[0] == 410
         assert service.handle("GET", f"/changes?under=&from={revision + 1}", None)[1]["log"][0]["put"] == "x"
     finally:
@@ -225,7 +225,7 @@
     with pytest.raises(StoreUnavailableError):
         engine.transact({}, [Write("big2", big)])
     assert (
-        StateService(engine, StoreLimits(1e6, 1e6, 32768, 4)).handle(
+        StoreService(engine, StoreLimits(1e6, 1e6, 32768, 4)).handle(
             "POST", "/multi", {"writes": [{"put": "big", "v": "x" * 20_000}]}
         )[0]
         == 503
--- a/tidebend/agent/task_runner.py
+++ b/tidebend/agent/task_runner.py
@@ -31,7 +31,7 @@
 from tidebend.agent.task_process import TaskProcess
 from tidebend.agent.tasks import ENDED, RUNNING, Task, inherited_environment
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog
-from tidebend.faults import point
+from tidebend.faults import fault_point
 
 log = logging.getLogger("agent")
 
@@ -66,11 +66,11 @@
         marks = {uuid.uuid4().hex: task for task in tasks}
         try:
             self._write_ahead_log.begin([StartedProcess(mark, task.name) for mark, task in marks.items()])
-            point("agent.written-down")
+            fault_point("agent.written-down")
             started = self._start_all(marks)
-            point("agent.begun")
+            fault_point("agent.begun")
             self._write_ahead_log.identify(started)
-            point("agent.identified")
+            fault_point("agent.identified")
         except sqlite3.Error as error:
             # guards against a process that runs without being written down, on a full disk: none of them goes on
             for task in tasks:
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -30,7 +30,7 @@
 from tidebend.agent.task_runner import EXIT, OUTPUT, TaskRunner
 from tidebend.agent.tasks import ENDED, FETCHING, SAVING, WAITING, Task
 from tidebend.agent.write_ahead_log import WriteAheadLog
-from tidebend.faults import point
+from tidebend.faults import fault_point
 from tidebend.messages import Description, GangPhase, GangVerdict, Joined
 from tidebend.protocol import Command
 from tidebend.protocol.worker import DirectCommands, ReportAnswer, report
@@ -200,7 +200,7 @@
         while not self._record_next_session():
             time.sleep(SESSION_RETRY_S)
         self.session += 1
-        point("agent.session-noted")
+        fault_point("agent.session-noted")
         self._sequence = 0
         self._lease_end = steady_time() + self.terms.lease_s
         self._event_log.add("session", steady_time(), session=self.session, machine=self.terms.machine)
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -11,7 +11,7 @@
 
 from tidebend.access import KeyedClient, Keyring, parse_listen_address, trusting
 from tidebend.client.jobfile import Ready
-from tidebend.control.main import ADDRESS, KEYS
+from tidebend.control.main import ADDRESS_FILE, KEYS_FILE
 from tidebend.messages import paths
 from tidebend.protocol import user as words
 from tidebend.transport import NoAnswerError, UnreachableError
@@ -52,10 +52,10 @@
         """Raises ControlServiceUnreachableError, NotLoopback, BadKeys or BadCertificate."""
         if control is None:
             try:
-                control, *trusted = (directory / ADDRESS).read_text().split()
+                control, *trusted = (directory / ADDRESS_FILE).read_text().split()
             except OSError as error:
                 raise ControlServiceUnreachableError(
-                    f"{directory / ADDRESS}: {error.strerror}: nothing was started there; `tidebend up` does"
+                    f"{directory / ADDRESS_FILE}: {error.strerror}: nothing was started there; `tidebend up` does"
                 ) from error
             authority = authority or (trusted[0] if trusted else None)
         try:
@@ -64,7 +64,7 @@
             raise ControlServiceUnreachableError(str(error)) from error
         self.address = control
         self._patience_s = patience_s
-        ring = Keyring(Path(key_file) if key_file else directory / KEYS)
+        ring = Keyring(Path(key_file) if key_file else directory / KEYS_FILE)
         self._client = KeyedClient(address, ring.shown, tls=trusting(authority) if authority else None)
 
     def call(self, method: str, path: str, body: Any = None) -> Any:
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -35,7 +35,7 @@
     data_directory,
 )
 from tidebend.client.jobfile import JobBlock, one_job, read_jobs
-from tidebend.control.main import KEYS
+from tidebend.control.main import KEYS_FILE
 from tidebend.hcl import HclFileError
 from tidebend.protocol import PRIORITIES
 from tidebend.protocol import user as words
@@ -200,10 +200,10 @@
 
 
 def _up(arguments: argparse.Namespace) -> int:
-    from tidebend.control.bootstrap import settings_file
+    from tidebend.control.bootstrap import ensure_settings_file
 
     directory = data_directory(arguments.data)
-    path = Path(arguments.config) if arguments.config else settings_file(directory)
+    path = Path(arguments.config) if arguments.config else ensure_settings_file(directory)
     return _serve(path, directory, rendering.up)
 
 
@@ -361,7 +361,7 @@
 
 
 def _keys(arguments: argparse.Namespace) -> int:
-    path = data_directory(arguments.data) / KEYS
+    path = data_directory(arguments.data) / KEYS_FILE
     if arguments.action == "make":
         create_keyring(path)
     elif arguments.action == "rotate":
--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -110,9 +110,9 @@
 def read_jobs(path: str) -> list[Ready]:
     """Return the jobs of a file, each after those it waits for. Raises HclFileError."""
     file = HclFile(path)
-    file.only("job")
+    file.reject_unknown("job")
     _unwrap_limits(file)
-    blocks = file.labelled("job", JobBlock)
+    blocks = file.labelled_blocks("job", JobBlock)
     if not blocks:
         raise file.error(("job",), 'expected at least one job "NAME" { command = [...] }')
     for name, block in blocks.items():
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -24,8 +24,8 @@
 
 log = logging.getLogger("control")
 
-DESCRIPTION = "desk/what/"
-RAN = "desk/ran/"
+DESCRIPTION_PREFIX = "desk/what/"
+RAN_ON_PREFIX = "desk/ran/"
 DONE_GANG = "desk/gang/"
 
 LATER = {"Retry-After": "1"}
@@ -97,7 +97,7 @@
 
     def _gang_status(self, raw: bytes) -> Reply:
         status = msgspec.json.decode(raw, type=GangMemberStatus)
-        return Reply(200, msgspec.to_builtins(self._gang_barriers.tell(status)))
+        return Reply(200, msgspec.to_builtins(self._gang_barriers.report_status(status)))
 
     # Descriptions
 
@@ -107,21 +107,21 @@
             return Reply(400, {"error": "not a job id"})
         value = msgspec.json.encode(msgspec.json.decode(raw, type=Description))
         try:
-            self._engine.transact({DESCRIPTION + job: 0}, [Write(DESCRIPTION + job, value)])
+            self._engine.transact({DESCRIPTION_PREFIX + job: 0}, [Write(DESCRIPTION_PREFIX + job, value)])
         except ConditionFailedError:
-            item, _ = self._engine.get(DESCRIPTION + job)
+            item, _ = self._engine.get(DESCRIPTION_PREFIX + job)
             if item is None or msgspec.json.encode(msgspec.convert(item.value, Description)) != value:
                 return Reply(409, {"error": f"{job} is described otherwise"})
             return Reply(200, {})
         return Reply(201, {})
 
     def _description(self, job: str, machine: str) -> Reply:
-        item, _ = self._engine.get(DESCRIPTION + job)
+        item, _ = self._engine.get(DESCRIPTION_PREFIX + job)
         if item is None:
             return Reply(404, {"error": f"{job} isn't described"})
         if machine:
             # who asks is about to run some of it: that is where its output will be
-            with_machine = RAN + f"{job}/{machine}"
+            with_machine = RAN_ON_PREFIX + f"{job}/{machine}"
             if self._engine.get(with_machine)[0] is None:
                 self._engine.transact({}, [Write(with_machine, b"1")])
         return Reply(200, item.value)
@@ -130,23 +130,25 @@
 
     def _list(self, arguments: dict[str, str]) -> Reply:
         most = min(MOST_LISTED, int(arguments["most"]) if arguments.get("most", "").isdigit() else MOST_LISTED)
-        rows, more, _ = self._engine.items(DESCRIPTION, DESCRIPTION + arguments.get("after", ""), most, 1 << 20)
+        rows, more, _ = self._engine.items(
+            DESCRIPTION_PREFIX, DESCRIPTION_PREFIX + arguments.get("after", ""), most, 1 << 20
+        )
         found = []
         for row in rows:
-            job = row.key[len(DESCRIPTION) :]
+            job = row.key[len(DESCRIPTION_PREFIX) :]
             reply = self._controller.job_api.poll(job)
             if reply.status == 503:
                 return reply
             if reply.status == 200:  # a description may be there before its job, or without one
                 found.append(self._row(job, reply.body, row.value))
-        last = rows[-1].key[len(DESCRIPTION) :] if rows else ""
+        last = rows[-1].key[len(DESCRIPTION_PREFIX) :] if rows else ""
         return Reply(200, {"jobs": found, "more": more, "last": last})
 
     def _job(self, job: str) -> Reply:
         reply = self._controller.job_api.poll(job)
         if reply.status != 200:
             return reply
-        item, _ = self._engine.get(DESCRIPTION + job)
+        item, _ = self._engine.get(DESCRIPTION_PREFIX + job)
         row = self._row(job, reply.body, item.value if item else {})
         live = self._controller.job_cache.get(job)
         if live is not None:
@@ -180,9 +182,9 @@
         if match is None:
             return Reply(400, {"error": "expected JOB/TASK"})
         job, index = match["job"], int(match["index"] or 0)
-        under = f"{RAN}{job}/"
+        under = f"{RAN_ON_PREFIX}{job}/"
         machines = [row.key[len(under) :] for row in self._engine.all_items(under)]
-        if not machines and self._engine.get(DESCRIPTION + job)[0] is None:
+        if not machines and self._engine.get(DESCRIPTION_PREFIX + job)[0] is None:
             return Reply(404, {"error": f"no job {job}"})
         newest: dict[str, Any] | None = None
         silent = []
--- a/tidebend/control/bootstrap.py
+++ b/tidebend/control/bootstrap.py
@@ -22,7 +22,7 @@
 """
 
 
-def settings_file(directory: Path) -> Path:
+def ensure_settings_file(directory: Path) -> Path:
     """The directory's settings; made from what this machine has if there are none yet."""
     path = directory / FILE
     if not path.exists():
--- a/tidebend/control/gang_barrier.py
+++ b/tidebend/control/gang_barrier.py
@@ -41,7 +41,7 @@
         self._lock = threading.Lock()
         self._gangs: dict[tuple[str, int], _Gang] = {}
 
-    def tell(self, told: GangMemberStatus) -> GangVerdict:
+    def report_status(self, told: GangMemberStatus) -> GangVerdict:
         """What a task tells of itself, and what follows for it; raises what `record_done` does."""
         key = (told.job, told.attempt)
         now = time.monotonic()
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -17,7 +17,7 @@
 from tidebend.control.metrics import PATH, Metrics
 from tidebend.control.settings import CONTROLLER, ControlSettings
 from tidebend.controller import Controller, connection_limits
-from tidebend.kvstore import Engine, InProcessClient, StateService
+from tidebend.kvstore import Engine, InProcessClient, StoreService
 from tidebend.messages import Joined, paths
 from tidebend.provider import AgentProcesses, Provider
 from tidebend.settings import StoreLimits
@@ -25,12 +25,12 @@
 
 log = logging.getLogger("control")
 
-KEYS, ADDRESS, STATE, AGENTS = "keys.json", "address", "state", "agents"
+KEYS_FILE, ADDRESS_FILE, STATE, AGENTS = "keys.json", "address", "state", "agents"
 STACK_BYTES = 256 * 1024
 BODY_S = 10.0
 # for connections to each interface beside the main one: of tools that look at the state, and of metrics
-SIDE_THREADS = 100
-SIDES = 2
+AUXILIARY_THREADS = 100
+MAX_AUXILIARY_SERVERS = 2
 # connections that may wait to be taken, also where few are set: agents come back all at once when we were away
 LEAST_BACKLOG = 128
 
@@ -59,7 +59,7 @@
 
     def _wire(self) -> None:
         settings, directory = self.settings, self.directory
-        keys = directory / KEYS
+        keys = directory / KEYS_FILE
         if not keys.exists():
             create_keyring(keys)
         self.ring = Keyring(keys)
@@ -68,15 +68,15 @@
         limits = StoreLimits(
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
         )
-        self.state = StateService(self.engine, limits)
+        self.state = StoreService(self.engine, limits)
         at = self._place()
         # the shares of threads follow from the settings alone, wherever we are going to listen
-        shares = settings.controller(at[1], at[0])
-        threads = connection_limits.connection_threads(shares) - SIDES * SIDE_THREADS
+        shares = settings.controller_settings(at[1], at[0])
+        threads = connection_limits.connection_threads(shares) - MAX_AUXILIARY_SERVERS * AUXILIARY_THREADS
         _warn_of_few_files(settings.connections)
-        self.gate = self._gate(at, lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}), threads)
-        self.address = f"{self.gate.host}:{self.gate.port}"
-        own = settings.controller(self.gate.port, self.gate.host)
+        self.server = self._gate(at, lambda *_: Reply(503, {"error": "starting"}, {"Retry-After": "1"}), threads)
+        self.address = f"{self.server.host}:{self.server.port}"
+        own = settings.controller_settings(self.server.port, self.server.host)
         processes = AgentProcesses(
             directory / AGENTS, self.address, keys.absolute(), settings.agents_alone_leases, settings.tls
         )
@@ -92,25 +92,25 @@
         self.desk = ControlApi(
             self.engine, self.controller, self.provider, self._terms, self._connect, settings.times.gang_peer_s
         )
-        self.gates = [self.gate]
+        self.servers = [self.server]
         if state.listen:
-            self.gates.append(self._gate(parse_address(state.listen), self._state_route, SIDE_THREADS))
+            self.servers.append(self._gate(parse_address(state.listen), self._state_route, AUXILIARY_THREADS))
         if settings.metrics_listen:
-            metrics = Metrics(self.engine, self.controller, self.provider, self.gate)
-            self.gates.append(
+            metrics = Metrics(self.engine, self.controller, self.provider, self.server)
+            self.servers.append(
                 self._gate(
                     parse_address(settings.metrics_listen),
                     lambda method, path, _: (
                         metrics.answer() if (method, path) == ("GET", PATH) else Reply(404, {"error": "no such path"})
                     ),
-                    SIDE_THREADS,
+                    AUXILIARY_THREADS,
                 )
             )
 
     def _place(self) -> tuple[str, int]:
         """Where to listen: as set, else where we were before, so that agents which outlived us find us again."""
         host, port = parse_address(self.settings.listen)
-        known = self.directory / ADDRESS
+        known = self.directory / ADDRESS_FILE
         if port == 0 and known.exists():
             before, _, text = known.read_text().split()[0].rpartition(":")
             if before == host and text.isdigit():
@@ -180,21 +180,21 @@
     def start(self) -> None:
         """Begin to serve."""
         self.controller.start_threads()
-        self.gate.route = self._route
-        for gate in self.gates:
+        self.server.route = self._route
+        for gate in self.servers:
             threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 1.0}, name="door", daemon=True).start()
         # only once it is served there: whoever reads it finds us
-        beside = self.directory / f"{ADDRESS}.new"
+        beside = self.directory / f"{ADDRESS_FILE}.new"
         trusted = [str(Path(self.settings.tls.authority).absolute())] if self.settings.tls else []
         beside.write_text("\n".join([self.address, *trusted]) + "\n")
-        beside.replace(self.directory / ADDRESS)
+        beside.replace(self.directory / ADDRESS_FILE)
         self.provider.start()
         log.info("the control service listens on %s, its data is in %s", self.address, self.directory)
 
     def end(self) -> None:
         """Agents here first, while they can still report; then the door, then the store."""
         self.provider.end()
-        for gate in self.gates:
+        for gate in self.servers:
             gate.shutdown()
             gate.server_close()
         self.engine.close()
--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -81,7 +81,7 @@
     teams: dict[str, TeamLimits]
     tls: Tls | None
 
-    def controller(self, port: int, host: str) -> Settings:
+    def controller_settings(self, port: int, host: str) -> Settings:
         """The settings of the controller in this process, in the platform's terms."""
         own = f"{host}:{port}"
         table = {
@@ -149,10 +149,10 @@
             parse_listen_address(text, tls is not None)
         except (ValueError, NotLoopbackError) as error:
             raise file.error(where, str(error)) from error
-    machines = file.labelled("machine", Kind)
+    machines = file.labelled_blocks("machine", Kind)
     if not machines:
         raise file.error(("machine",), 'expected at least one machine "NAME" { cpus = ... memory_gb = ... }')
-    teams = file.labelled("team", TeamLimits, lambda: {"everyone": TeamLimits()})
+    teams = file.labelled_blocks("team", TeamLimits, lambda: {"everyone": TeamLimits()})
     for label in (*machines, *teams):
         try:
             msgspec.convert(label, Name)
--- a/tidebend/faults.py
+++ b/tidebend/faults.py
@@ -15,7 +15,7 @@
 _lock = threading.Lock()
 
 
-def point(name: str) -> None:
+def fault_point(name: str) -> None:
     """Kill this process if TIDEBEND_FAULT names this point, the given time that it is passed; else do nothing."""
     global _left
     if name != _name:
--- a/tidebend/hcl.py
+++ b/tidebend/hcl.py
@@ -103,7 +103,7 @@
             raise self.error((name,), "expected one block")
         return self.check(rows[0] if rows else {}, kind, (name,))
 
-    def labelled(self, name: str, kind: type[T], default: Callable[[], dict[str, T]] = dict) -> dict[str, T]:
+    def labelled_blocks(self, name: str, kind: type[T], default: Callable[[], dict[str, T]] = dict) -> dict[str, T]:
         """Blocks with a label each, `NAME "LABEL" { ... }`; `default` where there is none."""
         found: dict[str, T] = {}
         for row in self.values.get(name, []):
@@ -115,7 +115,7 @@
             found[label] = self.check(values, kind, (name, label))
         return found or default()
 
-    def only(self, *names: str) -> None:
+    def reject_unknown(self, *names: str) -> None:
         """Nothing but these at the top."""
         for name in self.values:
             if name not in names:
--- a/tidebend/kvstore/__init__.py
+++ b/tidebend/kvstore/__init__.py
@@ -1,7 +1,7 @@
 """The embedded state service: the protocol's keys, transactions, leases and changes, durable in one directory.
 
 `Engine` is the store. Its `CommitQueue` executes operations and makes them durable, its `ReaderPool` reads, its
-`LeaseClock` tells when leases expire, and its `WatchFeed` tells watches of changes. `StateService` answers the
+`LeaseClock` tells when leases expire, and its `WatchFeed` tells watches of changes. `StoreService` answers the
 protocol's requests from an engine, and `InProcessClient` asks it without a socket.
 """
 
@@ -14,7 +14,7 @@
     LeaseEndedError,
     StoreUnavailableError,
 )
-from tidebend.kvstore.http_api import StateService
+from tidebend.kvstore.http_api import StoreService
 from tidebend.kvstore.in_process import InProcessClient
 from tidebend.kvstore.records import Item, Write
 
@@ -27,7 +27,7 @@
     "InProcessClient",
     "Item",
     "LeaseEndedError",
-    "StateService",
+    "StoreService",
     "StoreUnavailableError",
     "Write",
 ]
--- a/tidebend/kvstore/commit_queue.py
+++ b/tidebend/kvstore/commit_queue.py
@@ -15,7 +15,7 @@
 from concurrent.futures import Future
 from dataclasses import dataclass, field
 
-from tidebend.faults import point
+from tidebend.faults import fault_point
 from tidebend.kvstore.errors import ConditionFailedError, LeaseEndedError, StoreUnavailableError
 from tidebend.kvstore.leases import LeaseClock
 from tidebend.kvstore.operations import Commit, EndExpiredLeases, Operation
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("kvstore")
 
-MOST_IN_A_COMMIT = 256
+MAX_OPERATIONS_PER_COMMIT = 256
 MOST_WAITING = 4096
 # The thread looks for expired leases at least this often: they may end up to 100 ms late.
 TICK_S = 0.05
@@ -117,7 +117,7 @@
             pending = self._waiting.get(timeout=TICK_S)
             while pending is not None:
                 batch.append(pending)
-                if len(batch) >= MOST_IN_A_COMMIT:
+                if len(batch) >= MAX_OPERATIONS_PER_COMMIT:
                     return batch, False
                 pending = self._waiting.get_nowait()
             return batch, True
@@ -151,9 +151,9 @@
         outcomes = [_apply(commit, pending) for pending in batch]
         if commit.revision != self._feed.revision:
             commit.record_revision()
-        point("store.before-commit")
+        fault_point("store.before-commit")
         self._connection.execute("COMMIT")
-        point("store.after-commit")
+        fault_point("store.after-commit")
         return outcomes
 
     def _roll_back(self, error: sqlite3.Error) -> None:
--- a/tidebend/kvstore/http_api.py
+++ b/tidebend/kvstore/http_api.py
@@ -36,7 +36,7 @@
 NO_SUCH_PATH = "no such path"
 
 
-class StateService:
+class StoreService:
     """Answers the protocol's requests from an engine, within the limits of the settings."""
 
     def __init__(self, engine: Engine, limits: StoreLimits) -> None:
@@ -130,7 +130,7 @@
     def _changes(self, query: wire.ChangesQuery) -> Answer:
         wait_s = min(MOST_WAIT_MS, query.wait_ms) / 1000.0
         try:
-            changes, revision = self.engine.feed.since(query.prefix, query.revision, wait_s)
+            changes, revision = self.engine.feed.changes_since(query.prefix, query.revision, wait_s)
         except RevisionTooOldError:
             return 410, wire.error("too old: read the keys again")
         return 200, wire.changes([_change_row(change) for change in changes], revision)
--- a/tidebend/kvstore/in_process.py
+++ b/tidebend/kvstore/in_process.py
@@ -4,14 +4,14 @@
 
 from typing import Any
 
-from tidebend.kvstore.http_api import StateService
+from tidebend.kvstore.http_api import StoreService
 from tidebend.transport import NoAnswerError
 
 
 class InProcessClient:
     """Takes the place of `transport.HttpClient`, with the same answers and errors."""
 
-    def __init__(self, service: StateService) -> None:
+    def __init__(self, service: StoreService) -> None:
         """Requests go to this service, in the caller's thread."""
         self._service = service
 
--- a/tidebend/kvstore/reads.py
+++ b/tidebend/kvstore/reads.py
@@ -20,7 +20,7 @@
 CONNECTIONS = 4
 WAIT_S = 2.0
 # Of `all_items`: what is longer is read on.
-PAGE = 1000
+PAGE_ITEMS = 1000
 PAGE_BYTES = 1024 * 1024
 # What an item takes in an answer besides its key and value.
 ITEM_OVERHEAD_BYTES = 64
@@ -75,7 +75,7 @@
         after = ""
         more = True
         while more:
-            page, more, _ = self.items(prefix, after, PAGE, PAGE_BYTES)
+            page, more, _ = self.items(prefix, after, PAGE_ITEMS, PAGE_BYTES)
             yield from page
             if page:
                 after = page[-1].key
--- a/tidebend/kvstore/watch_feed.py
+++ b/tidebend/kvstore/watch_feed.py
@@ -10,7 +10,7 @@
 from tidebend.kvstore.records import Change
 
 # Whoever is further behind is told so (RevisionTooOldError), and reads all keys again.
-MOST_CHANGES = 10_000
+MAX_CHANGES = 10_000
 MOST_BYTES = 32 * 1024 * 1024  # of keys and values
 
 
@@ -36,7 +36,7 @@
             for change in changes:
                 self._changes.append(change)
                 self._bytes += _size(change)
-            while len(self._changes) > MOST_CHANGES or self._bytes > MOST_BYTES:
+            while len(self._changes) > MAX_CHANGES or self._bytes > MOST_BYTES:
                 dropped = self._changes.popleft()
                 self._bytes -= _size(dropped)
                 self._floor = dropped.version
@@ -49,7 +49,7 @@
             self._closed = True
             self._news.notify_all()
 
-    def since(self, prefix: str, revision: int, wait_s: float) -> tuple[list[Change], int]:
+    def changes_since(self, prefix: str, revision: int, wait_s: float) -> tuple[list[Change], int]:
         """Changes under a prefix after a revision, waited for up to `wait_s`, and the revision to continue from.
 
         Raises RevisionTooOldError.
--- a/tools/bench_store.py
+++ b/tools/bench_store.py
@@ -176,11 +176,11 @@
         "lmdb, shared syncs": lambda place: Lmdb(place, 256),
         "lmdb, one a sync": lambda place: Lmdb(place, 1),
     }
-    most = commit_queue.MOST_IN_A_COMMIT
+    most = commit_queue.MAX_OPERATIONS_PER_COMMIT
     for turn in range(arguments.rounds):
         for clients in (1, 8, 32):
             for name, make in kinds.items():
-                commit_queue.MOST_IN_A_COMMIT = 1 if "one" in name else most
+                commit_queue.MAX_OPERATIONS_PER_COMMIT = 1 if "one" in name else most
                 store = make(root / f"{turn}-{clients}-{name.replace(' ', '')}")
                 print(
                     json.dumps({"store": name, "clients": clients, **load(store, clients, arguments.seconds)}),
