--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -41,7 +41,7 @@
 
 
 def client(gate, shown=None):
-    return KeyedClient(gate.server_address[:2], shown or gate.ring.shown)
+    return KeyedClient(gate.server_address[:2], shown or gate.ring.bearer_token)
 
 
 def raw(gate, text):
@@ -52,7 +52,7 @@
 
 def test_the_right_key_gets_in_and_nothing_else(door, caplog):
     assert client(door).request("POST", "/x", {"a": 1}) == (200, {"n": 1})
-    right = door.ring.shown()
+    right = door.ring.bearer_token()
     for wrong in ("", "x", right[:-1], right + "x", right.partition(".")[2], right.partition(".")[0] + ".", "\xe9"):
         assert client(door, lambda wrong=wrong: wrong).request("POST", "/x", {"a": 1})[0] == 401
     assert HttpClient(door.server_address[:2]).request("POST", "/x", {"a": 1})[0] == 401
@@ -63,10 +63,10 @@
 
 def test_a_rotation_stops_nothing(door):
     path = door.ring.path
-    old = door.ring.shown()
+    old = door.ring.bearer_token()
     rotate_keyring(path, overlap_s=1.5)
     deadline = time.monotonic() + 5.0
-    while door.ring.shown() == old and time.monotonic() < deadline:
+    while door.ring.bearer_token() == old and time.monotonic() < deadline:
         time.sleep(0.05)
     assert client(door).request("GET", "/new")[0] == 200
     assert client(door, lambda: old).request("GET", "/old")[0] == 200
@@ -101,7 +101,7 @@
 
 
 def test_a_body_that_comes_byte_by_byte_is_cut_off(door):
-    head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {door.ring.shown()}\r\nContent-Length: 1000\r\n\r\n"
+    head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {door.ring.bearer_token()}\r\nContent-Length: 1000\r\n\r\n"
     slow = raw(door, head)
     began = time.monotonic()
 
@@ -146,22 +146,22 @@
     gates = {}
     for name, shown in (("right", tls), ("elsewhere", elsewhere)):
         gates[name] = AuthenticatedServer(
-            ("127.0.0.1", 0), lambda *_: Reply(200, {}), ring, 20.0, 1.0, 40, shown.server()
+            ("127.0.0.1", 0), lambda *_: Reply(200, {}), ring, 20.0, 1.0, 40, shown.server_context()
         )
         threading.Thread(target=gates[name].serve_forever, daemon=True).start()
     try:
 
         def ask(gate, key, trusted):
             address = gates[gate].server_address[:2]
-            return KeyedClient(address, lambda: key, tls=trusted and trusted.client()).request("GET", "/x")[0]
+            return KeyedClient(address, lambda: key, tls=trusted and trusted.client_context()).request("GET", "/x")[0]
 
-        assert ask("right", ring.shown(), tls) == 200
+        assert ask("right", ring.bearer_token(), tls) == 200
         assert ask("right", "wrong", tls) == 401
         for gate, trusted in (("right", foreign), ("right", None), ("elsewhere", tls)):
             with pytest.raises((UnreachableError, NoAnswerError)):
-                ask(gate, ring.shown(), trusted)
+                ask(gate, ring.bearer_token(), trusted)
         silent = [raw(gates["right"], "") for _ in range(100)]  # no handshake: guests like others
-        assert ask("right", ring.shown(), tls) == 200
+        assert ask("right", ring.bearer_token(), tls) == 200
         for stream in silent:
             stream.close()
     finally:
@@ -170,4 +170,4 @@
             gate.server_close()
     os.chmod(tls.key, 0o644)
     with pytest.raises(CertificateError, match="others can read"):
-        tls.server()
+        tls.server_context()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,15 +12,15 @@
 import pytest
 
 from tidebend.agent.output import Output, read
-from tidebend.agent.processes import boot_id, end_leftovers, look
+from tidebend.agent.processes import boot_id, kill_recorded_processes, read_process_info
 from tidebend.agent.worker import StaleCommandError, Worker
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog, WriteAheadLogError
-from tidebend.messages import Bounds, Description, GangVerdict, Joined
+from tidebend.messages import Description, GangVerdict, JoinResponse, ProcessLimits
 from tidebend.protocol import Command
 from tidebend.protocol.worker import DirectCommands, ReportAnswer
 
 JOB = "req-1"
-TERMS = Joined("vm-1", "here", 0.2, 60.0, 1.0, 1.0, 4.0, 0.0, 4.0, {"control": "127.0.0.1:1"})
+TERMS = JoinResponse("vm-1", "here", 0.2, 60.0, 1.0, 1.0, 4.0, 0.0, 4.0, {"control": "127.0.0.1:1"})
 
 
 class Agent:
@@ -29,7 +29,7 @@
     def __init__(self, directory, lease_s=60.0, **descriptions):
         self.descriptions = {f"req-{name}": description for name, description in descriptions.items()}
         self.write_ahead_log = WriteAheadLog(directory)
-        terms = TERMS if lease_s == 60.0 else Joined("vm-1", "here", 0.2, lease_s, 1.0, 1.0, 4.0, 0.0, 4.0, {})
+        terms = TERMS if lease_s == 60.0 else JoinResponse("vm-1", "here", 0.2, lease_s, 1.0, 1.0, 4.0, 0.0, 4.0, {})
         self.wanted = []
         self.worker = Worker(
             directory,
@@ -110,7 +110,7 @@
 
 
 def gone(pid):
-    seen = look(pid)
+    seen = read_process_info(pid)
     return seen is None or seen.dead
 
 
@@ -132,7 +132,7 @@
     one.until_state(3, "ended", "error")
     one.start(4, job="req-4")  # nobody has described it
     one.until_state(4, "ended", "no_such")
-    assert one.write_ahead_log.begun() == []
+    assert one.write_ahead_log.recorded_processes() == []
 
 
 def test_commands_repeated_late_and_in_order(agent, tmp_path):
@@ -311,9 +311,11 @@
     grab = "import sys; b = bytearray(int(sys.argv[1]))"
     one = agent(
         **{
-            "1": Description([sys.executable, "-c", grab, str(10**9)], bounds=Bounds(memory_gb=0.3)),
-            "2": Description([sys.executable, "-c", grab, "1000"], bounds=Bounds(memory_gb=0.3)),
-            "3": sh("ulimit -n; exec dd if=/dev/zero of=big bs=1M count=3", bounds=Bounds(file_mb=2, open_files=64)),
+            "1": Description([sys.executable, "-c", grab, str(10**9)], bounds=ProcessLimits(memory_gb=0.3)),
+            "2": Description([sys.executable, "-c", grab, "1000"], bounds=ProcessLimits(memory_gb=0.3)),
+            "3": sh(
+                "ulimit -n; exec dd if=/dev/zero of=big bs=1M count=3", bounds=ProcessLimits(file_mb=2, open_files=64)
+            ),
         }
     )
     for index, job in enumerate(("req-1", "req-2", "req-3")):
@@ -356,7 +358,7 @@
     one.start(6, job="req-4")
     assert one.worker.call(one.worker.gang_members) == []
     one.until(lambda: [phase for _, phase in one.worker.call(one.worker.gang_members)] == ["waiting"])
-    one.until(lambda: one.worker.call(one.write_ahead_log.begun) == [])
+    one.until(lambda: one.worker.call(one.write_ahead_log.recorded_processes) == [])
 
 
 def test_gang_tasks_start_and_end_together(agent):
@@ -410,7 +412,7 @@
     one = agent(directory=directory)
     assert all(gone(pid) for pid in pids(log))
     assert one.states() == {}
-    assert one.write_ahead_log.begun() == []
+    assert one.write_ahead_log.recorded_processes() == []
 
 
 @pytest.mark.parametrize("fault", ["agent.written-down", "agent.begun", "agent.identified"])
@@ -429,7 +431,7 @@
     time.sleep(0.2)
     assert pids(log) == []  # none of them had the word to go on
     one = agent(directory=directory, **{"1": sh(f"echo $$ >> {log}; sleep 67")})
-    assert one.write_ahead_log.begun() == []
+    assert one.write_ahead_log.recorded_processes() == []
     one.start(0, 1)
     one.until(lambda: len(pids(log)) == 2)
 
@@ -449,22 +451,24 @@
     one.until(lambda: ("ended", "error") in one.states().values())
     running = [index for index, state in one.states().items() if state == ("running", None)]
     one.until(lambda: len(pids(log)) == len(running))
-    assert {row.task for row in one.write_ahead_log.begun() if row.pid} == {f"{JOB}/{index}" for index in running}
+    assert {row.task for row in one.write_ahead_log.recorded_processes() if row.pid} == {
+        f"{JOB}/{index}" for index in running
+    }
     one.worker.call(lambda: full(False))
     one.answer(*(Command("stop", JOB, int(index), 1, 0.0) for index in running))
-    one.until(lambda: one.worker.call(one.write_ahead_log.begun) == [])
+    one.until(lambda: one.worker.call(one.write_ahead_log.recorded_processes) == [])
 
 
 def test_a_process_id_that_was_given_to_another_is_left_alone(tmp_path):
     write_ahead_log = WriteAheadLog(tmp_path)
     other = subprocess.Popen(["sleep", "68"])
     try:
-        seen = look(other.pid)
-        row = StartedProcess("mark", "t/0", other.pid, seen.started - 1, boot_id())
-        write_ahead_log.begin([row])
-        write_ahead_log.identify([row])
-        assert end_leftovers(write_ahead_log)
-        assert write_ahead_log.begun() == []
+        seen = read_process_info(other.pid)
+        row = StartedProcess("mark", "t/0", other.pid, seen.start_ticks - 1, boot_id())
+        write_ahead_log.record_starts([row])
+        write_ahead_log.record_pids([row])
+        assert kill_recorded_processes(write_ahead_log)
+        assert write_ahead_log.recorded_processes() == []
         assert other.poll() is None
     finally:
         other.kill()
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -229,10 +229,10 @@
     tls = make_certificate(tmp_path / "tls", "server", ["127.0.0.1"])
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
-    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=2)
+    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server_context(), max_threads=2)
     threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     before = threading.active_count()
-    clients = [KeyedClient(gate.server_address[:2], ring.shown, tls=tls.client()) for _ in range(12)]
+    clients = [KeyedClient(gate.server_address[:2], ring.bearer_token, tls=tls.client_context()) for _ in range(12)]
     try:
         for _ in range(3):
             for client in clients:
@@ -250,13 +250,13 @@
     tls = make_certificate(tmp_path / "tls", "server", ["127.0.0.1"])
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
-    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=1)
+    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server_context(), max_threads=1)
     threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     plain = socket.create_connection(gate.server_address[:2], timeout=ANSWER_S)
     try:
         # the first is as long as what is read ahead at a time
-        with tls.client().wrap_socket(plain, server_hostname="127.0.0.1") as stream:
-            head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {ring.shown()}\r\nContent-Length: "
+        with tls.client_context().wrap_socket(plain, server_hostname="127.0.0.1") as stream:
+            head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {ring.bearer_token()}\r\nContent-Length: "
             first = (head + "0008000\r\n\r\n").encode()
             size = 8192 - len(first)
             first = (head + f"{size:07d}\r\n\r\n").encode() + b"y" * size
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -102,7 +102,7 @@
         until_stopped(loopback.far.pid)
         stopped = time.monotonic()
         # an order of now, which it will read when it goes on: by then it is an old one
-        key = Keyring(loopback.data / "keys.json").shown()
+        key = Keyring(loopback.data / "keys.json").bearer_token()
         host, _, port = far["address"].rpartition(":")
         body = json.dumps(
             {"helm": 10**9, "watch": far["session"], "orders": [{"order": "start", "piece": f"{name}/0", "launch": 99}]}
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tidebend.access import Keyring, trusting
+from tidebend.access import Keyring, client_ssl_context
 from tidebend.agent.settings import load_agent_settings
 from tidebend.client import main
 from tidebend.client.jobfile import read_jobs
@@ -219,11 +219,11 @@
         (row,) = json.loads(service("submit", "--json", "--wait", "--timeout", "30", "--", "echo", "inside"))
         assert row["state"] == "done"
         assert service("logs", row["job"]) == "inside\n"
-        context = trusting(str(tmp_path / "tls/authority.pem"))
+        context = client_ssl_context(str(tmp_path / "tls/authority.pem"))
         asked = urllib.request.Request(f"https://127.0.0.1:{metrics[1]}/metrics")
         with pytest.raises(urllib.error.HTTPError, match="401"):
             urllib.request.urlopen(asked, context=context)
-        asked.add_header("Authorization", f"Bearer {Keyring(tmp_path / 'keys.json').shown()}")
+        asked.add_header("Authorization", f"Bearer {Keyring(tmp_path / 'keys.json').bearer_token()}")
         with urllib.request.urlopen(asked, context=context) as answer:
             text = answer.read().decode()
         assert "tidebend_machines 1.0" in text
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tidebend.agent.processes import MARK, boot_id, look
+from tidebend.agent.processes import MARK_VARIABLE, boot_id, read_process_info
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog
 from tidebend.kvstore import Engine
 from tidebend.protocol import rental_request
@@ -133,8 +133,10 @@
 
 def test_an_agent_is_ended_with_all_that_its_diary_names(tmp_path):
     processes = AgentProcesses(tmp_path, "127.0.0.1:1", tmp_path / "keys", 0.0, None)
-    task = subprocess.Popen(["sleep", "71"], env={MARK: "m1", "PATH": "/bin:/usr/bin"}, start_new_session=True)
-    stray = subprocess.Popen(["sleep", "72"], env={MARK: "m2", "PATH": "/bin:/usr/bin"}, start_new_session=True)
+    task = subprocess.Popen(["sleep", "71"], env={MARK_VARIABLE: "m1", "PATH": "/bin:/usr/bin"}, start_new_session=True)
+    stray = subprocess.Popen(
+        ["sleep", "72"], env={MARK_VARIABLE: "m2", "PATH": "/bin:/usr/bin"}, start_new_session=True
+    )
     holder = subprocess.Popen(
         [
             sys.executable,
@@ -142,9 +144,10 @@
             "import sys, time; from pathlib import Path\n"
             "from tidebend.kvstore import DirectoryLock\n"
             "from tidebend.agent.write_ahead_log import WriteAheadLog\n"
-            "from tidebend.agent.processes import look, boot_id\n"
+            "from tidebend.agent.processes import read_process_info, boot_id\n"
             "import os; place = Path(sys.argv[1]); lock = DirectoryLock(place); d = WriteAheadLog(place)\n"
-            "d.note(pid=str(os.getpid()), started=str(look(os.getpid()).started), boot=boot_id())\n"
+            "started = str(read_process_info(os.getpid()).start_ticks)\n"
+            "d.set_facts(pid=str(os.getpid()), started=started, boot=boot_id())\n"
             "print('up', flush=True); time.sleep(73)",
             str(tmp_path / "vm-1"),
         ],
@@ -153,16 +156,19 @@
     try:
         holder.stdout.readline()
         write_ahead_log = WriteAheadLog(tmp_path / "vm-1")
-        rows = [StartedProcess("m1", "t/0", task.pid, look(task.pid).started, boot_id()), StartedProcess("m2", "t/1")]
-        write_ahead_log.begin(rows)
-        write_ahead_log.identify(rows[:1])  # of the other it was killed before it knew
+        rows = [
+            StartedProcess("m1", "t/0", task.pid, read_process_info(task.pid).start_ticks, boot_id()),
+            StartedProcess("m2", "t/1"),
+        ]
+        write_ahead_log.record_starts(rows)
+        write_ahead_log.record_pids(rows[:1])  # of the other it was killed before it knew
         write_ahead_log.close()
         time.sleep(0.1)
         assert processes.end("vm-1")
         assert [each.wait(5.0) for each in (task, stray, holder)] == [-9, -9, -9]
         write_ahead_log = WriteAheadLog(tmp_path / "vm-1")
-        assert write_ahead_log.begun() == []
-        assert write_ahead_log.fact("gone") == "1"
+        assert write_ahead_log.recorded_processes() == []
+        assert write_ahead_log.get_fact("gone") == "1"
         write_ahead_log.close()
     finally:
         for each in (task, stray, holder):
--- a/tidebend/access/__init__.py
+++ b/tidebend/access/__init__.py
@@ -4,7 +4,7 @@
 from tidebend.access.authentication import AuthenticatedServer
 from tidebend.access.client import KeyedClient
 from tidebend.access.keys import Key, KeyFileError, Keyring, create_keyring, rotate_keyring
-from tidebend.access.tls import CertificateError, Tls, expires, make_certificate, trusting
+from tidebend.access.tls import CertificateError, Tls, certificate_expiry, client_ssl_context, make_certificate
 
 __all__ = [
     "AuthenticatedServer",
@@ -15,11 +15,11 @@
     "Keyring",
     "NotLoopbackError",
     "Tls",
+    "certificate_expiry",
+    "client_ssl_context",
     "create_keyring",
-    "expires",
     "make_certificate",
     "parse_address",
     "parse_listen_address",
     "rotate_keyring",
-    "trusting",
 ]
--- a/tidebend/access/authentication.py
+++ b/tidebend/access/authentication.py
@@ -29,7 +29,7 @@
 
     def _dispatch(self) -> Reply:
         shown = self.headers.get(HEADER, "")
-        key = self.server.ring.accepts(shown[len(SCHEME) :]) if shown.startswith(SCHEME) else None
+        key = self.server.ring.verify(shown[len(SCHEME) :]) if shown.startswith(SCHEME) else None
         if key is None:
             self.close_connection = True
             self.server.turned_away(self.client_address, self.command, self.path, bool(shown))
@@ -65,7 +65,7 @@
         time, so their share is of the threads where those are fewer."""
         self.ring = ring
         self._tls = tls
-        self.refused = 0
+        self.rejected_requests = 0
         self._patience_s = body_timeout_s  # for a guest to show a key, and for a whole body
         self._most_guests = max(2, int(min(most, max_threads or most) * GUESTS_SHARE))
         self._tables = threading.Lock()
@@ -138,7 +138,7 @@
         """Logged, but a flood of them fills no disk: once a second, with their number."""
         now = time.monotonic()
         with self._tables:
-            self.refused += 1
+            self.rejected_requests += 1
             if now - self._refusals_at < 1.0:
                 return
             self._refusals_at = now
@@ -148,7 +148,7 @@
             address[0],
             path.partition("?")[0][:80],
             "a wrong" if with_key else "no",
-            self.refused,
+            self.rejected_requests,
         )
 
     def _watch(self) -> None:
--- a/tidebend/access/keys.py
+++ b/tidebend/access/keys.py
@@ -105,7 +105,7 @@
             return None
         return found.st_mtime_ns, found.st_ino
 
-    def accepted(self) -> list[Key]:
+    def valid_keys(self) -> list[Key]:
         """Return the keys that are in force, read anew after a moment."""
         now = time.monotonic()
         with self._lock:
@@ -123,11 +123,11 @@
                 self._stamp, self._keys = stamp, keys
         return self._keys
 
-    def shown(self) -> str:
+    def bearer_token(self) -> str:
         """The text of the newest key, for a header."""
-        return self.accepted()[-1].text()
+        return self.valid_keys()[-1].text()
 
-    def accepts(self, text: str) -> str | None:
+    def verify(self, text: str) -> str | None:
         """The name of the key that was shown, None if it isn't one of ours or has run out.
 
         Every key is compared, each in constant time, so that the time taken tells nothing.
@@ -135,7 +135,7 @@
         now = time.time()
         shown = text.encode("utf-8", "surrogateescape")
         found = None
-        for key in self.accepted():
+        for key in self.valid_keys():
             same = hmac.compare_digest(key.text().encode(), shown)
             if same and (key.until is None or key.until > now):
                 found = key.name
--- a/tidebend/access/tls.py
+++ b/tidebend/access/tls.py
@@ -36,7 +36,7 @@
     certificate: str
     key: str
 
-    def server(self) -> ssl.SSLContext:
+    def server_context(self) -> ssl.SSLContext:
         """Raises CertificateError."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -45,7 +45,7 @@
                 raise CertificateError(f"{path}: can't be read")
         if os.stat(self.key).st_mode & 0o077:
             raise CertificateError(f"{self.key}: others can read it; chmod 600 {self.key}")
-        until = expires(Path(self.certificate))
+        until = certificate_expiry(Path(self.certificate))
         if until < datetime.datetime.now(datetime.UTC):
             raise CertificateError(
                 f"{self.certificate}: has run out on {until:%Y-%m-%d}; `tidebend certs make` makes another"
@@ -56,12 +56,12 @@
             raise CertificateError(f"{self.certificate}, {self.key}: {error}") from error
         return context
 
-    def client(self) -> ssl.SSLContext:
+    def client_context(self) -> ssl.SSLContext:
         """Raises CertificateError."""
-        return trusting(self.authority)
+        return client_ssl_context(self.authority)
 
 
-def trusting(authority: str) -> ssl.SSLContext:
+def client_ssl_context(authority: str) -> ssl.SSLContext:
     """For clients of servers that this authority vouches for. Raises CertificateError."""
     try:
         context = ssl.create_default_context(cafile=authority)
@@ -71,7 +71,7 @@
     return context
 
 
-def expires(path: Path) -> datetime.datetime:
+def certificate_expiry(path: Path) -> datetime.datetime:
     """Raises CertificateError."""
     try:
         return x509.load_pem_x509_certificate(path.read_bytes()).not_valid_after_utc
--- a/tidebend/agent/control_connection.py
+++ b/tidebend/agent/control_connection.py
@@ -12,7 +12,7 @@
 
 from tidebend.access import KeyedClient, Keyring, Tls, parse_address
 from tidebend.agent.worker import Worker
-from tidebend.messages import Description, GangMemberStatus, GangVerdict, Joined, Joining, paths
+from tidebend.messages import Description, GangMemberStatus, GangVerdict, JoinRequest, JoinResponse, paths
 from tidebend.protocol.worker import PATH_REPORT, STATUS_MISDIRECTED, parse_redirect, parse_report_answer
 from tidebend.transport import HttpClient, NoAnswerError, UnreachableError
 
@@ -33,7 +33,7 @@
     """The machine that this agent was is gone; it may become another."""
 
 
-def join(client: HttpClient, asked: Joining) -> Joined | None:
+def join(client: HttpClient, asked: JoinRequest) -> JoinResponse | None:
     """Become a machine; None if the control service can't be asked now. Raises Refused or Gone."""
     try:
         status, body = client.request("POST", paths.AGENTS, msgspec.to_builtins(asked), ANSWER_S)
@@ -41,7 +41,7 @@
         log.info("the control service can't be asked: %s", error)
         return None
     if status == 200:
-        return msgspec.convert(body, Joined)
+        return msgspec.convert(body, JoinResponse)
     if status == 410:
         raise MachineReplacedError
     if status in (400, 401, 404, 409):
@@ -52,9 +52,9 @@
 class ControlConnection:
     """The requests of one machine to its control service, by threads that run until `end`."""
 
-    def __init__(self, ring: Keyring, terms: Joined, tls: Tls | None) -> None:
+    def __init__(self, ring: Keyring, terms: JoinResponse, tls: Tls | None) -> None:
         self._ring = ring
-        self._tls = tls.client() if tls else None
+        self._tls = tls.client_context() if tls else None
         self._terms = terms
         self._clients = {name: self._client(address) for name, address in terms.controllers.items()}
         self._names = list(self._clients)
@@ -65,7 +65,7 @@
         self._ended = threading.Event()
 
     def _client(self, address: str) -> KeyedClient:
-        return KeyedClient(parse_address(address), self._ring.shown, 2, self._tls)
+        return KeyedClient(parse_address(address), self._ring.bearer_token, 2, self._tls)
 
     def start(self, worker: Worker) -> None:
         """Start the threads."""
@@ -159,7 +159,7 @@
             asked = GangMemberStatus(task.job, task.attempt, task.index, task.known_description.tasks, phase)
             try:
                 status, body = self._clients[self._names[0]].request(
-                    "POST", paths.MUSTER, msgspec.to_builtins(asked), ANSWER_S
+                    "POST", paths.GANG_STATUS, msgspec.to_builtins(asked), ANSWER_S
                 )
             except (UnreachableError, NoAnswerError):
                 self._ended.wait(LEAST_PAUSE_S)
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -13,12 +13,12 @@
 from tidebend.access import AuthenticatedServer, KeyedClient, Keyring, parse_address
 from tidebend.agent import endpoints
 from tidebend.agent.control_connection import ControlConnection, MachineReplacedError, join
-from tidebend.agent.processes import boot_id, end_leftovers, look
+from tidebend.agent.processes import boot_id, kill_recorded_processes, read_process_info
 from tidebend.agent.settings import AgentSettings
 from tidebend.agent.worker import Worker
 from tidebend.agent.write_ahead_log import WriteAheadLog
 from tidebend.kvstore import DirectoryLock, DirectoryLockedError
-from tidebend.messages import Joined, Joining
+from tidebend.messages import JoinRequest, JoinResponse
 from tidebend.transport import Reply
 
 log = logging.getLogger("agent")
@@ -34,13 +34,13 @@
     lock = _locked(directory)
     ring = Keyring(Path(settings.key_file))
     write_ahead_log = WriteAheadLog(directory)
-    me = look(os.getpid())
-    write_ahead_log.note(pid=str(os.getpid()), started=str(me.started if me else 0), boot=boot_id())
+    me = read_process_info(os.getpid())
+    write_ahead_log.set_facts(pid=str(os.getpid()), started=str(me.start_ticks if me else 0), boot=boot_id())
     ended = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: ended.set())
     try:
-        if write_ahead_log.fact("gone"):
+        if write_ahead_log.get_fact("gone"):
             log.info("this machine was given back: ending")
             return 0
         while not ended.is_set():
@@ -69,22 +69,22 @@
     settings: AgentSettings, ring: Keyring, write_ahead_log: WriteAheadLog, ended: threading.Event
 ) -> bool:
     """One life as one machine; False if the agent is to end."""
-    nonce = write_ahead_log.fact("nonce")
+    nonce = write_ahead_log.get_fact("nonce")
     if not nonce:
         nonce = uuid.uuid4().hex
         # a new machine begins anew: nobody knows its sessions or tokens
-        write_ahead_log.note(nonce=nonce, session="0", token="0")
+        write_ahead_log.set_facts(nonce=nonce, session="0", token="0")
     try:
-        terms = _join(settings, ring, nonce, write_ahead_log.fact("left").split(), ended)
+        terms = _join(settings, ring, nonce, write_ahead_log.get_fact("left").split(), ended)
     except MachineReplacedError:
         # by an operator's word, while we were away: whatever is left of that life ends before another begins
-        while not end_leftovers(write_ahead_log):
+        while not kill_recorded_processes(write_ahead_log):
             log.error("processes of an earlier life can't be ended; trying again")
-        write_ahead_log.note(nonce="", machine="")
+        write_ahead_log.set_facts(nonce="", machine="")
         return not ended.wait(0.5)
     if terms is None:
         return False
-    write_ahead_log.note(machine=terms.machine, left="")
+    write_ahead_log.set_facts(machine=terms.machine, left="")
     link = ControlConnection(ring, terms, settings.tls)
     # the port is known before the first report is made, and the routes once there is a worker
     gate = AuthenticatedServer(
@@ -94,7 +94,7 @@
         2 * terms.lease_s,
         min(5.0, terms.lease_s / 2),
         MOST_CONNECTIONS,
-        settings.tls.server() if settings.tls else None,
+        settings.tls.server_context() if settings.tls else None,
     )
     worker = Worker(
         settings.place(),
@@ -126,13 +126,15 @@
     return not ended.is_set()
 
 
-def _join(settings: AgentSettings, ring: Keyring, nonce: str, left: list[str], ended: threading.Event) -> Joined | None:
+def _join(
+    settings: AgentSettings, ring: Keyring, nonce: str, left: list[str], ended: threading.Event
+) -> JoinResponse | None:
     client = KeyedClient(
-        parse_address(settings.control), ring.shown, 1, settings.tls.client() if settings.tls else None
+        parse_address(settings.control), ring.bearer_token, 1, settings.tls.client_context() if settings.tls else None
     )
     since = time.monotonic()
     while not ended.is_set():
-        terms = join(client, Joining(nonce, settings.kind, settings.label or os.uname().nodename, left))
+        terms = join(client, JoinRequest(nonce, settings.kind, settings.label or os.uname().nodename, left))
         if terms is not None:
             return terms
         if settings.alone_leases and time.monotonic() - since > 60.0 * settings.alone_leases:
--- a/tidebend/agent/processes.py
+++ b/tidebend/agent/processes.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog
-from tidebend.messages import Bounds
+from tidebend.messages import ProcessLimits
 
-MARK = "TIDEBEND_MARK"
+MARK_VARIABLE = "TIDEBEND_MARK"
 PR_SET_CHILD_SUBREAPER = 36
 # Waits for a word on its input before it becomes the task: the agent first writes down who it is. If the agent dies
 # before that, the input ends and nothing starts. Exit status 125 is seen by nobody then.
@@ -39,11 +39,11 @@
 
     pid: int
     parent: int
-    started: int  # ticks since the machine booted; a clock that is set changes nothing here
+    start_ticks: int  # ticks since the machine booted; a clock that is set changes nothing here
     dead: bool  # ended, and only its parent hasn't asked yet
 
 
-def look(pid: int) -> ProcessInfo | None:
+def read_process_info(pid: int) -> ProcessInfo | None:
     """None if there is no such process."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
@@ -55,7 +55,7 @@
 
 def all_processes() -> list[ProcessInfo]:
     """Return all processes of the machine that can be seen."""
-    found = (look(int(name)) for name in os.listdir("/proc") if name.isdigit())
+    found = (read_process_info(int(name)) for name in os.listdir("/proc") if name.isdigit())
     return [seen for seen in found if seen is not None]
 
 
@@ -66,8 +66,8 @@
     except OSError:
         return None
     for row in raw.split(b"\0"):
-        if row.startswith(MARK.encode() + b"="):
-            return row[len(MARK) + 1 :].decode("ascii", "replace")
+        if row.startswith(MARK_VARIABLE.encode() + b"="):
+            return row[len(MARK_VARIABLE) + 1 :].decode("ascii", "replace")
     return None
 
 
@@ -93,10 +93,10 @@
         finally:
             os.close(ours)
         self._word = theirs
-        seen = look(self.process.pid)
-        self.started = seen.started if seen else 0
+        seen = read_process_info(self.process.pid)
+        self.start_ticks = seen.start_ticks if seen else 0
 
-    def bound(self, bounds: Bounds) -> None:
+    def bound(self, bounds: ProcessLimits) -> None:
         """Raises OSError or ValueError."""
         rows = [(resource.RLIMIT_CORE, 0)]
         if bounds.memory_gb is not None:
@@ -178,21 +178,21 @@
         time.sleep(0.01)
 
 
-def is_there(row: StartedProcess) -> bool:
+def is_running(row: StartedProcess) -> bool:
     """Whether the process that was written down is there: a process id may have been given to another since."""
     if row.pid is None or row.boot != boot_id():
         return False
-    seen = look(row.pid)
-    return seen is not None and seen.started == row.started and not seen.dead
+    seen = read_process_info(row.pid)
+    return seen is not None and seen.start_ticks == row.start_ticks and not seen.dead
 
 
-def end_leftovers(write_ahead_log: WriteAheadLog, timeout: float = 10.0) -> bool:
+def kill_recorded_processes(write_ahead_log: WriteAheadLog, timeout: float = 10.0) -> bool:
     """End all that an agent before us, or one that is gone, has begun; True once none of it is there any more."""
-    rows = write_ahead_log.begun()
+    rows = write_ahead_log.recorded_processes()
     for row in rows:
-        if row.pid is not None and is_there(row):
+        if row.pid is not None and is_running(row):
             signal_group(row.pid, signal.SIGKILL)
     left = end_marked({row.mark for row in rows}, timeout) if rows else set()
-    left |= {row.mark for row in rows if is_there(row)}
-    write_ahead_log.ended([row.mark for row in rows if row.mark not in left])
+    left |= {row.mark for row in rows if is_running(row)}
+    write_ahead_log.record_ends([row.mark for row in rows if row.mark not in left])
     return not left
--- a/tidebend/agent/task_runner.py
+++ b/tidebend/agent/task_runner.py
@@ -20,7 +20,7 @@
 from tidebend.agent.event_log import EventLog
 from tidebend.agent.images import Images
 from tidebend.agent.processes import (
-    MARK,
+    MARK_VARIABLE,
     TaskLauncher,
     boot_id,
     end_children,
@@ -65,11 +65,11 @@
         """Start tasks; each is running afterwards, or has ended with an error."""
         marks = {uuid.uuid4().hex: task for task in tasks}
         try:
-            self._write_ahead_log.begin([StartedProcess(mark, task.name) for mark, task in marks.items()])
+            self._write_ahead_log.record_starts([StartedProcess(mark, task.name) for mark, task in marks.items()])
             fault_point("agent.written-down")
             started = self._start_all(marks)
             fault_point("agent.begun")
-            self._write_ahead_log.identify(started)
+            self._write_ahead_log.record_pids(started)
             fault_point("agent.identified")
         except sqlite3.Error as error:
             # guards against a process that runs without being written down, on a full disk: none of them goes on
@@ -77,7 +77,7 @@
                 self._abandon(task, error)
         for task in tasks:
             self._let_run(task)
-        self._write_ahead_log.ended([mark for mark, task in marks.items() if task.state == ENDED])
+        self._write_ahead_log.record_ends([mark for mark, task in marks.items() if task.state == ENDED])
 
     def _start_all(self, marks: dict[str, Task]) -> list[StartedProcess]:
         started = []
@@ -105,7 +105,7 @@
         self._selector.register(process.output_pipe, selectors.EVENT_READ, (OUTPUT, task))
         self._selector.register(process.descriptor, selectors.EVENT_READ, (EXIT, task))
         self._with_process.append(task)
-        return StartedProcess(mark, task.name, process.pid, process.launcher.started, self._boot)
+        return StartedProcess(mark, task.name, process.pid, process.launcher.start_ticks, self._boot)
 
     def _create_process(self, mark: str, task: Task, task_output: output.Output) -> TaskProcess:
         description = task.known_description
@@ -116,7 +116,7 @@
         try:
             launcher = TaskLauncher(
                 description.prepare if task.prepares_image else description.command,
-                {**task.environment(inherited_environment(), image), MARK: mark},
+                {**task.environment(inherited_environment(), image), MARK_VARIABLE: mark},
                 directory,
                 write_end,
             )
@@ -182,7 +182,7 @@
             process.copy_output(self._selector)
         self._forget_process(task, process)
         shutil.rmtree(process.output.directory / "work", ignore_errors=True)
-        self._write_ahead_log.ended([process.mark])
+        self._write_ahead_log.record_ends([process.mark])
         if not task.prepares_image:
             status = process.launcher.process.returncode
             self._event_log.add("ended", steady_time(), task=task.name, attempt=task.attempt, status=status)
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -25,13 +25,13 @@
 from tidebend.agent.event_log import EventLog
 from tidebend.agent.image_preparation import ImagePreparer
 from tidebend.agent.images import Images
-from tidebend.agent.processes import adopt_orphans, end_leftovers
+from tidebend.agent.processes import adopt_orphans, kill_recorded_processes
 from tidebend.agent.task_process import TaskProcess
 from tidebend.agent.task_runner import EXIT, OUTPUT, TaskRunner
 from tidebend.agent.tasks import ENDED, FETCHING, SAVING, WAITING, Task
 from tidebend.agent.write_ahead_log import WriteAheadLog
 from tidebend.faults import fault_point
-from tidebend.messages import Description, GangPhase, GangVerdict, Joined
+from tidebend.messages import Description, GangPhase, GangVerdict, JoinResponse
 from tidebend.protocol import Command
 from tidebend.protocol.worker import DirectCommands, ReportAnswer, report
 
@@ -80,7 +80,7 @@
         self,
         directory: Path,
         write_ahead_log: WriteAheadLog,
-        terms: Joined,
+        terms: JoinResponse,
         address: str,
         kind: str,
         fetch_description: Callable[[str], None],
@@ -101,8 +101,8 @@
         self._fetch_description = fetch_description
         self._ask_about_gangs = ask_about_gangs
         self._on_change = on_change
-        self.session = int(write_ahead_log.fact("session", "0"))
-        self.token = int(write_ahead_log.fact("token", "0"))
+        self.session = int(write_ahead_log.get_fact("session", "0"))
+        self.token = int(write_ahead_log.get_fact("token", "0"))
         self._sequence = 0
         self._lease_end = 0.0
         self._token_reported_at = 0.0
@@ -194,7 +194,7 @@
 
     def _begin_session(self) -> None:
         """Begin a session once nothing of an earlier one is left: neither of ours, nor of an agent before us."""
-        while not end_leftovers(self._write_ahead_log):
+        while not kill_recorded_processes(self._write_ahead_log):
             log.error("processes of an earlier session can't be ended; trying again")
             time.sleep(SESSION_RETRY_S)
         while not self._record_next_session():
@@ -209,7 +209,7 @@
     def _record_next_session(self) -> bool:
         """Write the next session's number; a session that isn't on the disk could come twice."""
         try:
-            self._write_ahead_log.note(session=str(self.session + 1))
+            self._write_ahead_log.set_facts(session=str(self.session + 1))
         except sqlite3.Error as error:
             log.error("no later session can be begun: %s", error)
             return False
@@ -270,7 +270,9 @@
     def _learn_token(self, token: int) -> None:
         if token <= self.token:
             return
-        self._write_ahead_log.note(token=str(token))  # first on the disk: whoever gave a lower one is deposed for good
+        self._write_ahead_log.set_facts(
+            token=str(token)
+        )  # first on the disk: whoever gave a lower one is deposed for good
         self.token = token
         now = steady_time()
         if now - self._token_reported_at > TOKEN_REPORT_SHARE * self.terms.lease_s:
@@ -517,7 +519,7 @@
         """Give up being this machine: all tasks are ended for good before this returns."""
         self._end_everything()
         # whoever asked may not hear of it; the agent's next machine tells it again
-        self._write_ahead_log.note(machine="", nonce="", left=self.terms.machine)
+        self._write_ahead_log.set_facts(machine="", nonce="", left=self.terms.machine)
         self._is_ending = True
 
 
--- a/tidebend/agent/write_ahead_log.py
+++ b/tidebend/agent/write_ahead_log.py
@@ -35,7 +35,7 @@
     mark: str  # in the environment of all that descends from it
     task: str
     pid: int | None = None
-    started: int | None = None  # ticks since the machine booted
+    start_ticks: int | None = None  # ticks since the machine booted
     boot: str | None = None
 
 
@@ -59,32 +59,32 @@
         except sqlite3.Error as error:
             raise WriteAheadLogError(f"{path}: {error}") from error
 
-    def fact(self, name: str, default: str = "") -> str:
+    def get_fact(self, name: str, default: str = "") -> str:
         """Return a fact that was noted, or the default."""
         row = self._connection.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
         return row[0] if row else default
 
-    def note(self, **facts: str) -> None:
+    def set_facts(self, **facts: str) -> None:
         """Write facts, each in the place of the one of the same name."""
         with self._whole():
             self._connection.executemany("INSERT OR REPLACE INTO facts VALUES (?, ?)", facts.items())
 
-    def begin(self, rows: list[StartedProcess]) -> None:
+    def record_starts(self, rows: list[StartedProcess]) -> None:
         """Write down processes that are about to begin."""
         with self._whole():
             self._connection.executemany(
                 "INSERT INTO begun (mark, task) VALUES (?, ?)", [(row.mark, row.task) for row in rows]
             )
 
-    def identify(self, rows: list[StartedProcess]) -> None:
+    def record_pids(self, rows: list[StartedProcess]) -> None:
         """Write down the ids of processes that have begun."""
         with self._whole():
             self._connection.executemany(
                 "UPDATE begun SET pid = ?, started = ?, boot = ? WHERE mark = ?",
-                [(row.pid, row.started, row.boot, row.mark) for row in rows],
+                [(row.pid, row.start_ticks, row.boot, row.mark) for row in rows],
             )
 
-    def ended(self, marks: list[str]) -> None:
+    def record_ends(self, marks: list[str]) -> None:
         """On a full disk they stay for the next call: looking once more for what is gone costs little."""
         self._left += marks
         if not self._left:
@@ -97,7 +97,7 @@
             return
         self._left.clear()
 
-    def begun(self) -> list[StartedProcess]:
+    def recorded_processes(self) -> list[StartedProcess]:
         """Return the processes that may be there."""
         return [
             StartedProcess(*row) for row in self._connection.execute("SELECT mark, task, pid, started, boot FROM begun")
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tidebend.access import KeyedClient, Keyring, parse_listen_address, trusting
+from tidebend.access import KeyedClient, Keyring, client_ssl_context, parse_listen_address
 from tidebend.client.jobfile import Ready
 from tidebend.control.main import ADDRESS_FILE, KEYS_FILE
 from tidebend.messages import paths
@@ -65,7 +65,7 @@
         self.address = control
         self._patience_s = patience_s
         ring = Keyring(Path(key_file) if key_file else directory / KEYS_FILE)
-        self._client = KeyedClient(address, ring.shown, tls=trusting(authority) if authority else None)
+        self._client = KeyedClient(address, ring.bearer_token, tls=client_ssl_context(authority) if authority else None)
 
     def call(self, method: str, path: str, body: Any = None) -> Any:
         """The body of a 200 or 201. Raises ControlServiceUnreachableError or NotTaken."""
@@ -120,4 +120,4 @@
 
     def forget(self, machine: str) -> None:
         """Have the control service take a machine, and all that it ran, for gone."""
-        self.call("POST", f"{paths.FORGET}/{machine}", {})
+        self.call("POST", f"{paths.FORGET_MACHINE}/{machine}", {})
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -21,8 +21,8 @@
     KeyFileError,
     Keyring,
     NotLoopbackError,
+    certificate_expiry,
     create_keyring,
-    expires,
     make_certificate,
     rotate_keyring,
 )
@@ -370,7 +370,7 @@
     # never the secrets: what is shown ends up in terminals and logs
     rows = [
         {"key": key.name, "made": key.made, "until": key.until, "in_force": key.until is None or key.until > now}
-        for key in Keyring(path).accepted()
+        for key in Keyring(path).valid_keys()
     ]
     _print(arguments, {"file": str(path), "keys": rows}, rendering.keys)
     return FINE
@@ -382,6 +382,8 @@
         if not arguments.hosts:
             return _complain(WRONG, "certs make takes --host HOST, once for each name or address that it is for")
         make_certificate(directory, arguments.name, arguments.hosts)
-    rows = [{"file": str(path), "until": expires(path).timestamp()} for path in sorted(directory.glob("*.pem"))]
+    rows = [
+        {"file": str(path), "until": certificate_expiry(path).timestamp()} for path in sorted(directory.glob("*.pem"))
+    ]
     _print(arguments, rows, rendering.certificates)
     return FINE
--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from tidebend.hcl import HclFile, HclFileError
-from tidebend.messages import Bounds, Description
+from tidebend.messages import Description, ProcessLimits
 from tidebend.messages.descriptions import Amount, Text
 from tidebend.protocol import JobSpec
 
@@ -44,7 +44,7 @@
     checkpoint_s: Amount = 0.0
     save_s: Amount = 0.0
     output_kb: Annotated[int, msgspec.Meta(ge=1, le=1024 * 1024)] = 1024
-    limits: Bounds = Bounds()
+    limits: ProcessLimits = ProcessLimits()
 
     def spec(self, name: str) -> JobSpec:
         """Return what the scheduler has to know of the job."""
--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -16,7 +16,7 @@
 from tidebend.control.gang_barrier import GangBarriers
 from tidebend.controller import Controller
 from tidebend.kvstore import ConditionFailedError, Engine, StoreUnavailableError, Write
-from tidebend.messages import Description, GangMemberStatus, Joined, Joining, paths
+from tidebend.messages import Description, GangMemberStatus, JoinRequest, JoinResponse, paths
 from tidebend.protocol import is_job_id
 from tidebend.protocol import user as users_words
 from tidebend.provider import JoinRefusedError, MachineGoneError, Provider
@@ -49,7 +49,7 @@
         engine: Engine,
         controller: Controller,
         provider: Provider,
-        terms: Callable[[str], Joined],
+        terms: Callable[[str], JoinResponse],
         connect: Callable[[tuple[str, int]], KeyedClient],
         gang_peer_s: float,
     ) -> None:
@@ -78,7 +78,7 @@
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         """Answer a request."""
         path, _, query = path.partition("?")
-        table, _, rest = path[len(paths.DESK) :].partition("/")
+        table, _, rest = path[len(paths.CONTROL_API) :].partition("/")
         arguments = {key: values[-1] for key, values in parse_qs(query, max_num_fields=16).items()}
         handler = self._handlers.get((method, table, bool(rest)))
         if handler is None:
@@ -238,7 +238,7 @@
         return rows
 
     def _join(self, raw: bytes) -> Reply:
-        asked = msgspec.json.decode(raw, type=Joining)
+        asked = msgspec.json.decode(raw, type=JoinRequest)
         try:
             name = self._provider.join(asked.nonce, asked.kind, asked.label, asked.left)
         except MachineGoneError as error:
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -18,7 +18,7 @@
 from tidebend.control.settings import CONTROLLER, ControlSettings
 from tidebend.controller import Controller, connection_limits
 from tidebend.kvstore import Engine, InProcessClient, StoreService
-from tidebend.messages import Joined, paths
+from tidebend.messages import JoinResponse, paths
 from tidebend.provider import AgentProcesses, Provider
 from tidebend.settings import StoreLimits
 from tidebend.transport import Reply
@@ -63,7 +63,7 @@
         if not keys.exists():
             create_keyring(keys)
         self.ring = Keyring(keys)
-        self._tls = settings.tls.client() if settings.tls else None
+        self._tls = settings.tls.client_context() if settings.tls else None
         state = settings.state
         limits = StoreLimits(
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
@@ -126,7 +126,7 @@
                 2.0 * self.settings.times.lease_s,
                 BODY_S,
                 self.settings.connections,
-                self.settings.tls.server() if self.settings.tls else None,
+                self.settings.tls.server_context() if self.settings.tls else None,
                 max(LEAST_BACKLOG, int(connection_limits.BACKLOG_SHARE * self.settings.connections)),
                 threads,
             )
@@ -136,7 +136,7 @@
             ) from error
 
     def _connect(self, address: tuple[str, int], max_idle: int = 1) -> KeyedClient:
-        return KeyedClient(address, self.ring.shown, max_idle, self._tls)
+        return KeyedClient(address, self.ring.bearer_token, max_idle, self._tls)
 
     def _connector(self, state: tuple[str, int], cloud: tuple[str, int]) -> Callable[..., Any]:
         """What the controller has for clients: state service and cloud are in this process, agents are not."""
@@ -147,9 +147,9 @@
 
         return connect
 
-    def _terms(self, kind: str) -> Joined:
+    def _terms(self, kind: str) -> JoinResponse:
         times, amounts = self.settings.times, self.provider.terms(kind)
-        return Joined(
+        return JoinResponse(
             "",
             self.settings.zone,
             times.report_s,
@@ -163,7 +163,7 @@
         )
 
     def _route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
-        if path.startswith(paths.DESK):
+        if path.startswith(paths.CONTROL_API):
             return self.desk.route(method, path, body)
         return self.controller.route(method, path, body)
 
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -74,7 +74,7 @@
             "tidebend_state_refusing", "1 while the disk refuses changes.", float(self._engine.failing is not None)
         )
         yield CounterMetricFamily(
-            "tidebend_turned_away", "Requests without a good key since the start.", self._gate.refused
+            "tidebend_turned_away", "Requests without a good key since the start.", self._gate.rejected_requests
         )
         yield GaugeMetricFamily(
             "tidebend_leads", "1 while the controller leads.", float(self._controller.coordinator.term is not None)
--- a/tidebend/messages/__init__.py
+++ b/tidebend/messages/__init__.py
@@ -1,6 +1,15 @@
 """Schemas of what the control service, its agents and its users tell each other beside the protocol: one place each."""
 
-from tidebend.messages.agents import GangMemberStatus, GangPhase, GangVerdict, Joined, Joining, Verdict
-from tidebend.messages.descriptions import Bounds, Description
+from tidebend.messages.agents import GangMemberStatus, GangPhase, GangVerdict, JoinRequest, JoinResponse, Verdict
+from tidebend.messages.descriptions import Description, ProcessLimits
 
-__all__ = ["Bounds", "Description", "GangMemberStatus", "GangPhase", "GangVerdict", "Joined", "Joining", "Verdict"]
+__all__ = [
+    "Description",
+    "GangMemberStatus",
+    "GangPhase",
+    "GangVerdict",
+    "JoinRequest",
+    "JoinResponse",
+    "ProcessLimits",
+    "Verdict",
+]
--- a/tidebend/messages/agents.py
+++ b/tidebend/messages/agents.py
@@ -11,7 +11,7 @@
 Verdict = Literal["wait", "start", "done", "mates_gone"]
 
 
-class Joining(msgspec.Struct, frozen=True):
+class JoinRequest(msgspec.Struct, frozen=True):
     """An agent asks to be a machine. `nonce` is its own for this life, so that asking again gives the same name.
 
     `left` names machines that it was before and has left, with all that it ran ended.
@@ -23,7 +23,7 @@
     left: list[Name] = []
 
 
-class Joined(msgspec.Struct, frozen=True):
+class JoinResponse(msgspec.Struct, frozen=True):
     """The name it reports under from now on, and what holds between workers and controllers here."""
 
     machine: Name
--- a/tidebend/messages/descriptions.py
+++ b/tidebend/messages/descriptions.py
@@ -10,7 +10,7 @@
 Text = Annotated[str, msgspec.Meta(max_length=32 * 1024, pattern="^[^\\x00]*$")]
 
 
-class Bounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
+class ProcessLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
     """What a task's processes may take, each of them; kept by the system (`setrlimit`). None: no bound."""
 
     memory_gb: Annotated[float, msgspec.Meta(gt=0)] | None = None
@@ -36,5 +36,5 @@
     checkpoints: Text | None = None  # a directory that all agents share
     checkpoint_s: Amount = 0.0
     save_s: Amount = 0.0
-    bounds: Bounds = Bounds()
+    bounds: ProcessLimits = ProcessLimits()
     output_kb: Annotated[int, msgspec.Meta(ge=1, le=1024 * 1024)] = 1024
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from tidebend.access import Tls
-from tidebend.agent import WriteAheadLog, end_leftovers
-from tidebend.agent.processes import is_there
+from tidebend.agent import WriteAheadLog, kill_recorded_processes
+from tidebend.agent.processes import is_running
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLogError
 from tidebend.kvstore import DirectoryLock, DirectoryLockedError
 
@@ -86,8 +86,8 @@
         directory = self.directory(name)
         directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         write_ahead_log = WriteAheadLog(directory)
-        if not write_ahead_log.fact("nonce"):
-            write_ahead_log.note(nonce=nonce, session="0", token="0")
+        if not write_ahead_log.get_fact("nonce"):
+            write_ahead_log.set_facts(nonce=nonce, session="0", token="0")
         write_ahead_log.close()
         settings = directory / "agent.hcl"
         rows = {
@@ -148,8 +148,8 @@
             write_ahead_log = WriteAheadLog(self.directory(name))
             try:
                 # one that was started but hasn't got as far as its lock finds this and ends
-                write_ahead_log.note(gone="1")
-                gone = end_leftovers(write_ahead_log, timeout)
+                write_ahead_log.set_facts(gone="1")
+                gone = kill_recorded_processes(write_ahead_log, timeout)
             finally:
                 write_ahead_log.close()
         except WriteAheadLogError as error:
@@ -171,9 +171,13 @@
             started.process.send_signal(number)
             return
         write_ahead_log = WriteAheadLog(self.directory(name))
-        pid, since, boot = write_ahead_log.fact("pid"), write_ahead_log.fact("started"), write_ahead_log.fact("boot")
+        pid, since, boot = (
+            write_ahead_log.get_fact("pid"),
+            write_ahead_log.get_fact("started"),
+            write_ahead_log.get_fact("boot"),
+        )
         write_ahead_log.close()
-        if pid and is_there(StartedProcess("", "agent", int(pid), int(since), boot)):
+        if pid and is_running(StartedProcess("", "agent", int(pid), int(since), boot)):
             os.kill(int(pid), number)
 
     def end_in_order(self, names: list[str], timeout: float = 10.0) -> None:
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -175,7 +175,7 @@
     control, desk = start(directory, 0)
     try:
         host, _, port = desk.address.rpartition(":")
-        world = World((host, int(port)), Keyring(directory / "keys.json").shown(), 1.0)
+        world = World((host, int(port)), Keyring(directory / "keys.json").bearer_token(), 1.0)
         running = [asyncio.create_task(Light(world).run()) for _ in range(agents)]
         loop = asyncio.get_running_loop()
         while len(await loop.run_in_executor(None, desk.agents)) < agents:
