--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -44,12 +44,12 @@
     first, _ = shared(world)
     held = dict([first.coordinator.condition(first.coordinator.grant("north.0"))])
     assert claim_in(first, "north", "a", 0b11111111) is not None  # uses the whole limit
-    assert first.job_writer.change_all([JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
+    assert first.job_writer.write_edits([JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
     # the condition of the ending edit fails: nothing may use the resources that it would have freed
     lost = JobEdit("a", ending_edit(0b11), {"tidebend/live/block/north.0": 1})
-    assert first.job_writer.change_all([lost, JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
+    assert first.job_writer.write_edits([lost, JobEdit("b", allocating_edit(first, 0b11), held)]) == {}
     before = world.state.revision
-    made = first.job_writer.change_all(
+    made = first.job_writer.write_edits(
         [JobEdit("a", ending_edit(0b11), held), JobEdit("b", allocating_edit(first, 0b11), held)]
     )
     assert sorted(made) == ["a", "b"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,7 +12,7 @@
 from tidebend.cluster_state.final_states import pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
-from tidebend.coordination.schema_version import FORMAT, READS
+from tidebend.coordination.schema_version import READABLE_VERSION_PREFIX, SCHEMA_VERSION_KEY
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
 SCENE = """machines 2 box north
@@ -58,9 +58,9 @@
     assert job_cache.team("team").cpus == pytest.approx(SAMPLES["items"]["tidebend/live/team/team"][0] - ended)
     assert job_cache.final_state("req-a") == "done"
     assert job_cache.final_state("req-c") == "cancelled"
-    assert unpack_final(pack_final("done", 5.0, plain=True)) == ("done", 0.0)
-    assert pack_final("done", 5.0, plain=True) == SAMPLES["items"]["tidebend/final/req-a"]
-    assert unpack_final(pack_final("done", 5.0, plain=False)) == ("done", 5.0)
+    assert unpack_final(pack_final("done", 5.0, without_time=True)) == ("done", 0.0)
+    assert pack_final("done", 5.0, without_time=True) == SAMPLES["items"]["tidebend/final/req-a"]
+    assert unpack_final(pack_final("done", 5.0, without_time=False)) == ("done", 5.0)
 
 
 def test_until_the_format_is_raised_everything_has_productions_structure(tmp_path):
@@ -71,8 +71,10 @@
     for key, value in [*SAMPLES["items"].items(), *((row["key"], row["value"]) for row in SAMPLES["jobs"])]:
         known.setdefault(kind(key), []).append(shape(value))
     written = [(row["put"], row["v"]) for row in world.state.changes if "put" in row]
-    assert {kind(key) for key, _ in written} - set(known) == {kind(READS + "n0")}  # which production never looks at
-    assert FORMAT not in world.state.items
+    assert {kind(key) for key, _ in written} - set(known) == {
+        kind(READABLE_VERSION_PREFIX + "n0")
+    }  # which production never looks at
+    assert SCHEMA_VERSION_KEY not in world.state.items
     for key, value in written:
         if kind(key) == kind(JOB_PREFIX):
             assert len(value["spec"]) == len(SAMPLES["jobs"][0]["value"]["spec"])
@@ -122,7 +124,7 @@
         assert HEAD_PREFIX + "req-b" not in world.state.items
         for _ in range(80):
             world.step()
-        assert world.state.items[FORMAT][0] == {"version": 2}
+        assert world.state.items[SCHEMA_VERSION_KEY][0] == {"version": 2}
         assert world.controllers["n0"].job_api.submit(raw).status == 201
         assert HEAD_PREFIX + "req-b" in world.state.items
         assert JOB_PREFIX + "req-b" not in world.state.items
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from tidebend.access import KeyedClient, Keyring, parse_listen_address, trusting
+from tidebend.access import KeyedClient, Keyring, client_ssl_context, parse_listen_address
 from tidebend.client.jobfile import Ready
-from tidebend.control.main import ADDRESS, KEYS
+from tidebend.control.main import ADDRESS_FILE, KEYS_FILE
 from tidebend.messages import paths
 from tidebend.protocol import user as words
 from tidebend.transport import NoAnswerError, UnreachableError
@@ -52,10 +52,10 @@
         """Raises ControlServiceUnreachableError, NotLoopback, BadKeys or BadCertificate."""
         if control is None:
             try:
-                control, *trusted = (directory / ADDRESS).read_text().split()
+                control, *trusted = (directory / ADDRESS_FILE).read_text().split()
             except OSError as error:
                 raise ControlServiceUnreachableError(
-                    f"{directory / ADDRESS}: {error.strerror}: nothing was started there; `tidebend up` does"
+                    f"{directory / ADDRESS_FILE}: {error.strerror}: nothing was started there; `tidebend up` does"
                 ) from error
             authority = authority or (trusted[0] if trusted else None)
         try:
@@ -64,8 +64,8 @@
             raise ControlServiceUnreachableError(str(error)) from error
         self.address = control
         self._patience_s = patience_s
-        ring = Keyring(Path(key_file) if key_file else directory / KEYS)
-        self._client = KeyedClient(address, ring.shown, tls=trusting(authority) if authority else None)
+        ring = Keyring(Path(key_file) if key_file else directory / KEYS_FILE)
+        self._client = KeyedClient(address, ring.bearer_token, tls=client_ssl_context(authority) if authority else None)
 
     def call(self, method: str, path: str, body: Any = None) -> Any:
         """The body of a 200 or 201. Raises ControlServiceUnreachableError or NotTaken."""
@@ -120,4 +120,4 @@
 
     def forget(self, machine: str) -> None:
         """Have the control service take a machine, and all that it ran, for gone."""
-        self.call("POST", f"{paths.FORGET}/{machine}", {})
+        self.call("POST", f"{paths.FORGET_MACHINE}/{machine}", {})
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -21,8 +21,8 @@
     KeyFileError,
     Keyring,
     NotLoopbackError,
+    certificate_expiry,
     create_keyring,
-    expires,
     make_certificate,
     rotate_keyring,
 )
@@ -35,7 +35,7 @@
     data_directory,
 )
 from tidebend.client.jobfile import JobBlock, one_job, read_jobs
-from tidebend.control.main import KEYS
+from tidebend.control.main import KEYS_FILE
 from tidebend.hcl import HclFileError
 from tidebend.protocol import PRIORITIES
 from tidebend.protocol import user as words
@@ -200,10 +200,10 @@
 
 
 def _up(arguments: argparse.Namespace) -> int:
-    from tidebend.control.bootstrap import settings_file
+    from tidebend.control.bootstrap import ensure_settings_file
 
     directory = data_directory(arguments.data)
-    path = Path(arguments.config) if arguments.config else settings_file(directory)
+    path = Path(arguments.config) if arguments.config else ensure_settings_file(directory)
     return _serve(path, directory, rendering.up)
 
 
@@ -361,7 +361,7 @@
 
 
 def _keys(arguments: argparse.Namespace) -> int:
-    path = data_directory(arguments.data) / KEYS
+    path = data_directory(arguments.data) / KEYS_FILE
     if arguments.action == "make":
         create_keyring(path)
     elif arguments.action == "rotate":
@@ -370,7 +370,7 @@
     # never the secrets: what is shown ends up in terminals and logs
     rows = [
         {"key": key.name, "made": key.made, "until": key.until, "in_force": key.until is None or key.until > now}
-        for key in Keyring(path).accepted()
+        for key in Keyring(path).valid_keys()
     ]
     _print(arguments, {"file": str(path), "keys": rows}, rendering.keys)
     return FINE
@@ -382,6 +382,8 @@
         if not arguments.hosts:
             return _complain(WRONG, "certs make takes --host HOST, once for each name or address that it is for")
         make_certificate(directory, arguments.name, arguments.hosts)
-    rows = [{"file": str(path), "until": expires(path).timestamp()} for path in sorted(directory.glob("*.pem"))]
+    rows = [
+        {"file": str(path), "until": certificate_expiry(path).timestamp()} for path in sorted(directory.glob("*.pem"))
+    ]
     _print(arguments, rows, rendering.certificates)
     return FINE
--- a/tidebend/controller/api/job_api.py
+++ b/tidebend/controller/api/job_api.py
@@ -15,7 +15,7 @@
 from tidebend.controller.records.cancellation_sealer import CancellationSealer
 from tidebend.controller.records.job_writer import JobWriter
 from tidebend.controller.records.record_limits import packed_bytes
-from tidebend.coordination.schema_version import FORMAT, SchemaVersion
+from tidebend.coordination.schema_version import SCHEMA_VERSION_KEY, SchemaVersion
 from tidebend.kvclient import (
     FINAL,
     ConflictError,
@@ -126,7 +126,7 @@
                 return _no_such_job()
             if _is_final(found):
                 return found
-            self._job_writer.change(job_id, _cancelled_unless_done, conditions={})
+            self._job_writer.write_edit(job_id, _cancelled_unless_done, conditions={})
             answer = self.find(job_id)
             if answer is not None and _is_final(answer):
                 log.info("job %s is %s as of revision %d", job_id, answer.body["tide"], self._cache.revision)
@@ -187,7 +187,7 @@
             not_ready = self._reason_not_ready(job)
             if not_ready is not None:
                 return unavailable_reply(not_ready)
-            job = self._job_writer.record_limits.in_recorded_form(job)
+            job = self._job_writer.record_limits.in_stored_form(job)
             self._check(job)
         except SubmissionRejectedError as rejection:
             # a job accepted earlier is never rejected, whatever the repeated body says and whatever has changed since
@@ -254,7 +254,7 @@
         """Write the job's record unless a record of any form exists, and answer with the job's recorded state."""
         conditions = {JOB_PREFIX + job.id: 0, HEAD_PREFIX + job.id: 0, FINAL + job.id: 0}
         if job.key != JOB_PREFIX + job.id:
-            conditions[FORMAT] = self._cache.get(FORMAT)[1]
+            conditions[SCHEMA_VERSION_KEY] = self._cache.get(SCHEMA_VERSION_KEY)[1]
         try:
             self._cache.write(conditions, [(job.key, job.pack(), None)], "submit", retry_for_s=SUBMIT_RETRY_S)
         except ConflictError:
--- a/tidebend/controller/scheduler/allocator.py
+++ b/tidebend/controller/scheduler/allocator.py
@@ -56,7 +56,7 @@
             for job_id, job_placements in placements.items()
         ]
         edits = self._completions_freeing_quota(placements) + claims
-        changed = self.job_writer.change_all(edits) if edits else {}
+        changed = self.job_writer.write_edits(edits) if edits else {}
         now = time.monotonic()
         for job_id, job in changed.items():
             self.completions.mark_recorded(job_id)
