--- a/tidebend/cluster_state/allocation_index.py
+++ b/tidebend/cluster_state/allocation_index.py
@@ -1,4 +1,4 @@
-"""Allocations by machine."""
+"""An index of allocations by machine."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class AllocationIndex:
-    """The allocations of the live jobs, by machine and job. Changed and read under the lock of its owner."""
+    """The allocations of the live jobs, by machine and job. Guarded by the lock of the owning `JobCache`."""
 
     def __init__(self) -> None:
-        """Begin without allocations."""
+        """Create an empty index."""
         self._by_machine: dict[str, dict[str, list[tuple[Job, Allocation]]]] = {}
 
     def add(self, job: Job) -> None:
-        """Add the allocations of a job that isn't there."""
+        """Add the allocations of a job that isn't in the index."""
         for allocation in job.allocations:
             jobs = self._by_machine.setdefault(allocation.machine, {})
             jobs.setdefault(job.id, []).append((job, allocation))
 
     def remove(self, job: Job) -> None:
-        """Remove the allocations of a job that was added."""
+        """Remove the allocations of a job that is in the index."""
         for allocation in job.allocations:
             jobs = self._by_machine.get(allocation.machine)
             if jobs is None:
-                continue  # an earlier allocation of the job to this machine has removed them all
+                continue  # removed already, with another allocation of the job to this machine
             jobs.pop(job.id, None)
             if not jobs:
                 del self._by_machine[allocation.machine]
--- a/tidebend/cluster_state/allocations.py
+++ b/tidebend/cluster_state/allocations.py
@@ -1,4 +1,4 @@
-"""Allocations of tasks to machines, and their form in records."""
+"""Allocations of tasks to machines, and their stored form."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 
 from tidebend.cluster_state.task_bitmap import format_ranges, parse_ranges
 
-# allocations that share a session, an attempt, a time and a zone are stored as one group
+# (session, attempt, time, zone): allocations that agree in all four are stored as one group
 _GroupKey = tuple[int, int, float, str]
 
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """Tasks of a job that are allocated to a machine.
+    """Tasks of one job that are allocated to one machine.
 
-    It is recorded before the start of the tasks is sent, and stays until their end is proven.
+    An allocation is recorded before the start commands of its tasks are sent, and removed only once the tasks are
+    known to have ended.
     """
 
     machine: str
-    session: int  # the worker's session; a later one has killed all tasks of this one
-    attempt: int  # counts the allocation events of the job
-    tasks: int  # bitmap
-    allocated_at: float  # time of day in seconds, just before it was recorded
+    session: int  # the worker's session; at the start of a later session all tasks of this one have been killed
+    attempt: int  # number of the job's allocation event, counted from 1
+    tasks: int  # bitmap of task indexes
+    allocated_at: float  # wall clock in seconds, read just before the allocation was recorded
     zone: str
 
 
 def pack_allocations(allocations: Iterable[Allocation]) -> list[list[Any]]:
-    """Return the form in records: `[session, attempt, time, zone, [machine, tasks, machine, tasks, ...]]` per group.
+    """Return the stored form: `[session, attempt, time, zone, [machine, tasks, machine, tasks, ...]]` per group.
 
-    The allocations of one event differ only in machine and tasks. They are grouped because a job on hundreds of
-    machines must fit into one value of the state service.
+    The allocations of one event mostly differ only in machine and tasks. Grouping them lets a job on hundreds of
+    machines fit into one value of the key-value store.
     """
     groups: dict[_GroupKey, list[str]] = {}
     for allocation in allocations:
@@ -42,7 +43,7 @@
 
 
 def unpack_allocations(groups: Iterable[list[Any]]) -> tuple[Allocation, ...]:
-    """Read what `pack_allocations` wrote; raises ValueError for a malformed group."""
+    """Parse the stored form; raises ValueError for a malformed group."""
     return tuple(
         Allocation(machine, session, attempt, parse_ranges(tasks), at, zone)
         for session, attempt, at, zone, rows in groups
@@ -51,14 +52,14 @@
 
 
 def shift_tasks(allocations: Iterable[Allocation], offset: int) -> Iterator[Allocation]:
-    """Yield the allocations with `offset` added to each task number; used between job and chunk numbering."""
+    """Yield the allocations with `offset` added to each task index, to convert between job and chunk indexes."""
     for allocation in allocations:
         tasks = allocation.tasks << offset if offset > 0 else allocation.tasks >> -offset
         yield _with_tasks(allocation, tasks)
 
 
 def restrict_to(allocations: Iterable[Allocation], mask: int) -> tuple[Allocation, ...]:
-    """Return the parts of the allocations that lie within a bitmap of tasks; empty ones are left out."""
+    """Return the allocations reduced to the tasks in a bitmap; allocations without such tasks are left out."""
     return tuple(
         _with_tasks(allocation, allocation.tasks & mask) for allocation in allocations if allocation.tasks & mask
     )
--- a/tidebend/cluster_state/final_states.py
+++ b/tidebend/cluster_state/final_states.py
@@ -1,4 +1,4 @@
-"""The final state of a job that has ended, and its forms in records."""
+"""The final state of a job that has ended, and its stored forms."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 DONE = "done"
 CANCELLED = "cancelled"
-# records of the first format version don't tell when the job ended
+# the time in records of schema version 1, which don't contain when the job ended
 UNKNOWN_TIME = 0.0
 
 
 class FinalState(NamedTuple):
-    """How a job has ended. Its record never changes."""
+    """How and when a job has ended. The record of a final state never changes."""
 
     state: str  # `DONE` or `CANCELLED`
-    at: float  # time of day in seconds, or `UNKNOWN_TIME`
+    at: float  # wall clock in seconds, or `UNKNOWN_TIME`
 
 
 def unpack_final(value: Any) -> FinalState:
-    """Read a final record of either format version: a state, or a mapping with the state and its time."""
+    """Parse a final record of either schema version: a state, or a mapping with the state and its time."""
     if isinstance(value, str):
         return FinalState(value, UNKNOWN_TIME)
     return FinalState(value["state"], value["at"])
 
 
 def pack_final(state: str, at: float, without_time: bool) -> Any:
-    """Return the final record of a job; with `without_time` in the first format version, which drops the time."""
+    """Return the final record of a job; with `without_time` in the form of schema version 1."""
     return state if without_time else {"state": state, "at": round(at, 3)}
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -1,4 +1,4 @@
-"""The cache of live jobs, of teams' usage and of final states, kept up to date from the state service's records."""
+"""The cache of live jobs, of teams' usage and of final states, kept up to date from the key-value store."""
 
 from __future__ import annotations
 
@@ -22,49 +22,49 @@
 
 @dataclass(slots=True)
 class _ChunkRecord:
-    """A chunk's record, unpacked once: its job is derived anew whenever another of its chunks changes."""
+    """A chunk's record, unpacked only once although its job is derived again whenever any of its chunks changes."""
 
     value: Any
     version: int
-    _first: int | None = None  # the number of the first task that it was unpacked with
+    _first: int | None = None  # index of the chunk's first task, as of the unpacking
     _chunk: Chunk | None = None
 
     def chunk(self, first: int) -> Chunk:
-        """Unpack the record of a chunk whose first task has this number, as the job's head tells."""
+        """Return the unpacked chunk; `first` is the index of its first task, which follows from the job's head."""
         if self._chunk is None or self._first != first:
             self._first, self._chunk = first, Chunk.unpack(self.value, self.version, first)
         return self._chunk
 
 
 class JobCache:
-    """Live jobs, teams' usage and final states; changed only by the watch cache, under its lock.
+    """Live jobs, teams' usage and final states; changed only under the watch cache's lock.
 
-    Whether a job is blocked or cancelled by its dependencies is derived from their final records. These never change,
-    so that a conclusion from them stays true, and is the same on every controller.
+    Whether a job is blocked or cancelled because of its dependencies is derived from their final records. These never
+    change, so what is derived from them stays valid and is the same on every controller.
     """
 
-    def __init__(self, lock: threading.RLock, keep_finals: int) -> None:
-        """`lock`: the watch cache's; `keep_finals`: how many final states to keep at the least."""
+    def __init__(self, lock: threading.RLock, max_recent_finals: int) -> None:
+        """`lock` is the watch cache's; for `max_recent_finals` see `DependencyGraph`."""
         self.lock = lock
         self.jobs: dict[str, Job] = {}
-        self._heads: dict[str, Job] = {}  # as recorded: without chunks, and without what follows from dependencies
+        self._heads: dict[str, Job] = {}  # as recorded, before chunks and dependencies are applied
         self._chunks: dict[str, dict[int, _ChunkRecord]] = {}
         self._usage = UsageIndex()
         self._allocations = AllocationIndex()
-        self._dependencies = DependencyGraph(keep_finals)
-        self._unsealed: dict[str, None] = {}  # jobs whose cancellation needs sealing, in the order of their records
-        self._removed_cancelled: set[str] = set()  # the cancelled jobs whose records the last removals deleted
-        self._removed_at = 0  # the revision of these removals
+        self._dependencies = DependencyGraph(max_recent_finals)
+        self._unsealed: dict[str, None] = {}  # jobs that need sealing, in the order of their records
+        self._removed_cancelled: set[str] = set()  # cancelled jobs removed at revision `_removed_at`
+        self._removed_at = 0  # revision of the latest removal of a job
 
     def on_change(self, key: str, value: Any, version: int) -> None:
-        """Apply a record of the state service, or its removal if `value` is None; other keys are ignored."""
+        """Apply a changed record, or its deletion if `value` is None; keys of other kinds are ignored."""
         if key.startswith(JOB_PREFIX):
             self._change_head(key[len(JOB_PREFIX) :], key, value, version)
         elif key.startswith(HEAD_PREFIX):
             self._change_head(key[len(HEAD_PREFIX) :], key, value, version)
         elif key.startswith(CHUNK_PREFIX):
-            name, _, number = key[len(CHUNK_PREFIX) :].rpartition("/")
-            self._change_chunk(name, int(number), value, version)
+            job_id, _, number = key[len(CHUNK_PREFIX) :].rpartition("/")
+            self._change_chunk(job_id, int(number), value, version)
         elif key.startswith(FINAL):
             if value is not None:
                 self._check_final(key[len(FINAL) :], value, version)
@@ -72,82 +72,82 @@
         else:
             self._usage.on_change(key, value, version)
 
-    def _check_final(self, name: str, value: Any, version: int) -> None:
-        """Log if a job's final record contradicts its cancellation, which users may have been told of."""
-        job = self.jobs.get(name)
-        was_cancelled = job.cancelled if job else version == self._removed_at and name in self._removed_cancelled
+    def _check_final(self, job_id: str, value: Any, version: int) -> None:
+        """Log an error if a job's final record contradicts its cancellation, which may have been confirmed to users."""
+        job = self.jobs.get(job_id)
+        was_cancelled = job.cancelled if job else version == self._removed_at and job_id in self._removed_cancelled
         if was_cancelled and unpack_final(value).state == DONE:
-            log.error("job %s: recorded as done at revision %d, and was cancelled before", name, version)
+            log.error("job %s: recorded as done at revision %d although it was cancelled before", job_id, version)
 
     def _note_removal(self, job: Job, version: int) -> None:
-        """Remember that a cancelled job was removed at a revision, for the final record that comes with it."""
+        """Remember a cancelled job's removal, to check the final record that is written at the same revision."""
         if version != self._removed_at:
             self._removed_at = version
             self._removed_cancelled.clear()
         if job.cancelled:
             self._removed_cancelled.add(job.id)
 
-    def _change_head(self, name: str, key: str, value: Any, version: int) -> None:
-        old = self._heads.get(name)
+    def _change_head(self, job_id: str, key: str, value: Any, version: int) -> None:
+        old = self._heads.get(job_id)
         if value is None:
             if old is None or old.key != key:
-                return  # the job has moved to the other key
-            del self._heads[name]
+                return  # the job is stored under its other key now
+            del self._heads[job_id]
             self._note_removal(old, version)
         else:
-            self._heads[name] = Job.unpack(name, value, version)
-        new = self._heads.get(name)
+            self._heads[job_id] = Job.unpack(job_id, value, version)
+        new = self._heads.get(job_id)
         old_dependencies = old.dependencies if old else ()
         new_dependencies = new.dependencies if new else ()
         if old_dependencies != new_dependencies:
-            self._dependencies.replace_dependencies(name, old_dependencies, new_dependencies)
-        self._derive(name)
+            self._dependencies.replace_dependencies(job_id, old_dependencies, new_dependencies)
+        self._derive(job_id)
 
-    def _change_chunk(self, name: str, number: int, value: Any, version: int) -> None:
-        records = self._chunks.setdefault(name, {})
+    def _change_chunk(self, job_id: str, number: int, value: Any, version: int) -> None:
+        records = self._chunks.setdefault(job_id, {})
         if value is None:
             records.pop(number, None)
             if not records:
-                del self._chunks[name]
+                del self._chunks[job_id]
         else:
             records[number] = _ChunkRecord(value, version)
-        if name in self._heads:
-            self._derive(name)
+        if job_id in self._heads:
+            self._derive(job_id)
 
-    def remember_final(self, name: str, value: Any) -> None:
-        """Apply the final record of a job, from the watch cache or from a look-up by itself."""
+    def remember_final(self, job_id: str, value: Any) -> None:
+        """Apply the final record of a job, received by the watch cache or read individually."""
         final = unpack_final(value)
         with self.lock:
-            for dependent in self._dependencies.remember_final(name, final):
+            for dependent in self._dependencies.remember_final(job_id, final):
                 self._derive(dependent)
 
-    # How jobs follow from records
+    # Deriving jobs from records
 
-    def _outcome(self, name: str) -> FinalState | None:
-        """Return how a job has ended or, by a cancellation, is bound to end; None if that is open or unknown."""
-        final = self._dependencies.final_state(name)
+    def _outcome(self, job_id: str) -> FinalState | None:
+        """Return the final state of a job, also if it follows from a cancellation already; None if open or unknown."""
+        final = self._dependencies.final_state(job_id)
         if final is None:
-            job = self.jobs.get(name)
+            job = self.jobs.get(job_id)
             if job is not None and job.cancelled:
                 return FinalState(CANCELLED, UNKNOWN_TIME)
         return final
 
-    def _derive(self, name: str) -> None:
-        """Derive a job from its records and its dependencies, then the jobs that depend on it, and so on."""
-        left = [name]
-        while left:
-            name = left.pop()
-            outcome_before = self._outcome(name)
-            old = self.jobs.pop(name, None)
+    def _derive(self, job_id: str) -> None:
+        """Derive a job from its records and dependencies, then the dependents that this affects, transitively."""
+        to_visit = [job_id]
+        while to_visit:
+            job_id = to_visit.pop()
+            outcome_before = self._outcome(job_id)
+            old = self.jobs.pop(job_id, None)
             if old is not None:
                 self._remove_from_indexes(old)
-            head = self._heads.get(name)
+            head = self._heads.get(job_id)
             if head is not None:
                 new = self._with_dependencies_applied(self._with_chunks(head))
-                self.jobs[name] = new
+                self.jobs[job_id] = new
                 self._add_to_indexes(new)
-            if self._outcome(name) != outcome_before:
-                left += self._dependencies.dependents(name)
+            if self._outcome(job_id) != outcome_before:
+                to_visit += self._dependencies.dependents(job_id)
 
     def _with_chunks(self, head: Job) -> Job:
         if head.chunks is None:
@@ -157,7 +157,7 @@
         return head.with_chunk_records({number: record.chunk(number * size) for number, record in records.items()})
 
     def _with_dependencies_applied(self, job: Job) -> Job:
-        """Return the job cancelled if a dependency is, or no longer blocked if all are done."""
+        """Return the job as cancelled if a dependency is cancelled, or as unblocked if all of them are done."""
         if not job.dependencies:
             return job
         outcomes = [self._outcome(dependency) for dependency in job.dependencies]
@@ -185,81 +185,84 @@
 
     # Jobs
 
-    def get(self, name: str) -> Job | None:
-        """Return a live job."""
+    def get(self, job_id: str) -> Job | None:
+        """Return a live job, or None."""
         with self.lock:
-            return self.jobs.get(name)
+            return self.jobs.get(job_id)
 
     def live_jobs(self) -> list[Job]:
         """Return all live jobs."""
         with self.lock:
             return list(self.jobs.values())
 
-    def unsealed(self) -> list[str]:
-        """Return the cancelled jobs that controllers of the first format version may still record as done."""
+    def unsealed_cancellations(self) -> list[str]:
+        """Return the cancelled jobs that controllers of schema version 1 may still record as done."""
         with self.lock:
             return list(self._unsealed)
 
-    def final_state(self, name: str) -> str | None:
-        """Return `done` or `cancelled` if that is known to be the job's final state, also while it still lives."""
+    def final_state(self, job_id: str) -> str | None:
+        """Return the job's final state, `done` or `cancelled`, or None.
+
+        A live job that is cancelled has the final state `cancelled` already.
+        """
         with self.lock:
-            outcome = self._outcome(name)
+            outcome = self._outcome(job_id)
             return outcome.state if outcome else None
 
-    def chunk_versions(self, name: str) -> dict[int, int]:
-        """Return the versions of the records of a job's chunks, also of those that its head doesn't name."""
+    def chunk_versions(self, job_id: str) -> dict[int, int]:
+        """Return the versions of a job's chunk records by number, including those that its head doesn't refer to."""
         with self.lock:
-            return {number: record.version for number, record in self._chunks.get(name, {}).items()}
+            return {number: record.version for number, record in self._chunks.get(job_id, {}).items()}
 
-    def chunk_sources(self, name: str) -> dict[int, int]:
-        """Return the versions of the job's record from which its chunks were split, by number; 0 for changed ones."""
+    def chunk_sources(self, job_id: str) -> dict[int, int]:
+        """Return by chunk number the version of the job's record that the chunk was split from; 0 if changed since."""
         with self.lock:
-            return {number: record.value.get("source", 0) for number, record in self._chunks.get(name, {}).items()}
+            return {number: record.value.get("source", 0) for number, record in self._chunks.get(job_id, {}).items()}
 
     # Dependencies
 
     def dependents_by_job(self) -> dict[str, list[str]]:
-        """Return for each job that live ones depend on: those."""
+        """Return the live dependents of each job that has some."""
         with self.lock:
             return self._dependencies.dependents_by_job()
 
-    def missing_final_states(self, name: str | None = None) -> list[str]:
-        """Return jobs that others depend on and that have ended, but of which it isn't known how.
+    def missing_final_states(self, job_id: str | None = None) -> list[str]:
+        """Return the ended jobs that live jobs depend on and whose final state isn't known.
 
-        With a name only those that this job depends on, directly or through others.
+        With a job id, only those that this job depends on, directly or transitively.
         """
         with self.lock:
-            if name is None:
+            if job_id is None:
                 return [other for other in self._dependencies.dependencies_without_final() if other not in self._heads]
-            return self._missing_final_states_of(name)
+            return self._missing_final_states_of(job_id)
 
-    def _missing_final_states_of(self, name: str) -> list[str]:
+    def _missing_final_states_of(self, job_id: str) -> list[str]:
         found: list[str] = []
-        seen = {name}
-        left = [name]
-        while left:
-            head = self._heads.get(left.pop())
+        seen = {job_id}
+        to_visit = [job_id]
+        while to_visit:
+            head = self._heads.get(to_visit.pop())
             for other in head.dependencies if head else ():
                 if other in seen or self._dependencies.has_needed_final(other):
                     continue
                 seen.add(other)
-                (left if other in self._heads else found).append(other)
+                (to_visit if other in self._heads else found).append(other)
         return found
 
     # Teams
 
     def used(self, team: str, zones: Container[str] | None = None) -> QuotaAmount:
-        """Return what a team's allocated tasks use, everywhere or in some zones."""
+        """Return the resources of a team's allocated tasks, in all zones or in the given ones."""
         with self.lock:
             return self._usage.used(team, zones)
 
     def has_zone_quotas(self, team: str) -> bool:
-        """Whether a team's limit is divided into quota shares of zones."""
+        """Whether a team's limit is divided into zone quotas."""
         with self.lock:
             return self._usage.has_zone_quotas(team)
 
     def team(self, name: str, zones: Container[str] = ()) -> TeamUsage:
-        """Return a team's usage as the holder of these zones may act on it."""
+        """Return a team's usage as it applies to allocations by the holder of these zones."""
         with self.lock:
             return self._usage.team(name, zones)
 
--- a/tidebend/cluster_state/job_records.py
+++ b/tidebend/cluster_state/job_records.py
@@ -1,7 +1,7 @@
-"""Jobs in their form in the state service.
+"""The stored form of jobs.
 
-A job without dependencies whose record isn't split is stored under `JOB_PREFIX`, exactly as controllers of the first
-format version read and write it. Any other job is stored under `HEAD_PREFIX`, which those controllers don't look at.
+A job without dependencies whose record isn't split is stored under `JOB_PREFIX`, exactly as controllers of schema
+version 1 read and write it. Any other job is stored under `HEAD_PREFIX`, which those controllers don't read.
 """
 
 from __future__ import annotations
@@ -16,46 +16,46 @@
 from tidebend.kvclient import LIVE
 from tidebend.protocol import JobSpec
 
-# key prefix of jobs in the first format version
+# key prefix of jobs in schema version 1
 JOB_PREFIX = LIVE + "job/"
-# key prefix of jobs with dependencies, former ones included, and of jobs whose record is split
+# key prefix of jobs that have or had dependencies, and of jobs whose record is split
 HEAD_PREFIX = LIVE + "head/"
 
 
 @dataclass(frozen=True, slots=True)
 class Job(ChunkedJob):
-    """A job with its form in records.
+    """A job with its stored form.
 
-    Controllers of the first format version record a job as done once its bitmap of done tasks equals that of all its
-    tasks, even if it was cancelled before. To keep them from it, a cancelled job under `JOB_PREFIX` is recorded with
-    one more done task than it has tasks, which seals its cancellation. They keep that bit; it is removed when a record
-    is read.
+    Controllers of schema version 1 record a job as done once its bitmap of done tasks equals that of all its tasks,
+    even if it was cancelled before. To prevent that, a cancelled job under `JOB_PREFIX` is sealed: it is stored with
+    one more done task than it has tasks, so that the bitmaps never become equal. Those controllers preserve the
+    additional bit; `unpack` removes it.
     """
 
     @property
     def key(self) -> str:
-        """The key of its record."""
+        """The key of the job's record."""
         return (
             HEAD_PREFIX if self.dependencies or self.dependencies_done_at is not None or self.chunks else JOB_PREFIX
         ) + self.id
 
     @property
     def needs_sealing(self) -> bool:
-        """Whether the job is cancelled, and controllers of the first format version may still record it as done."""
+        """Whether the job is cancelled and controllers of schema version 1 may still record it as done."""
         return self.cancelled and not self.cancellation_sealed and self.key.startswith(JOB_PREFIX)
 
     @property
     def _sealing_bit(self) -> int:
-        """The bit of a task that the job doesn't have."""
+        """The bit after that of the job's last task."""
         return 1 << self.spec.tasks
 
     def pack(self) -> dict[str, Any]:
-        """Return the record under `key`. Of a split job it is the head; chunks are packed by themselves."""
+        """Return the record under `key`; for a split job the head, without its chunks."""
         value: dict[str, Any] = {"spec": self.spec.pack(), "at": round(self.submitted, 3)}
         if self.cancelled:
             value["cancelled"] = 1
         if self.dependencies:
-            value["awaits"] = list(self.dependencies)  # whether they are done is known from their final records only
+            value["awaits"] = list(self.dependencies)  # their final records alone tell whether they are done
         elif self.dependencies_done_at is not None:
             value["ready"] = round(self.dependencies_done_at, 3)
         if self.chunks:
@@ -76,13 +76,13 @@
             value["claims"] = pack_allocations(self.allocations)
 
     @staticmethod
-    def unpack(name: str, value: dict[str, Any], version: int) -> Job:
-        """Read a record of either kind; fields of later format versions are ignored.
+    def unpack(job_id: str, value: dict[str, Any], version: int) -> Job:
+        """Parse a record under either prefix; fields of later schema versions are ignored.
 
-        A job with dependencies counts as blocked until their final records say otherwise.
+        A job with dependencies is blocked until `JobCache` has applied their final records.
         """
         job = Job(
-            id=name,
+            id=job_id,
             version=version,
             spec=JobSpec.unpack(value["spec"]),
             submitted=value["at"],
--- a/tidebend/cluster_state/job_state.py
+++ b/tidebend/cluster_state/job_state.py
@@ -1,4 +1,4 @@
-"""The state of a job, and the changes of its allocations."""
+"""The state of a job and the transitions of its allocations."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """A job at one version of its record. Immutable: a change makes a new one, for a conditional write.
+    """A job at one version of its record. Immutable: a change returns a new state, to be written by compare-and-swap.
 
-    Times are times of day, in seconds. `blocked` is never recorded: it follows from the final records of the
+    Times are wall-clock times in seconds. `blocked` isn't recorded: it is derived from the final records of the
     dependencies.
     """
 
@@ -26,14 +26,14 @@
     spec: JobSpec
     submitted: float
     cancelled: bool = False
-    cancellation_sealed: bool = False  # no version may record the job as done any more: see `Job`
-    last_attempt: int = 0  # allocation events so far; numbers the attempts
-    ended_count: int = 0  # tasks of allocations that have ended; only grows
-    done: int = 0  # bitmap
+    cancellation_sealed: bool = False  # no controller can record the job as done any more: see `Job`
+    last_attempt: int = 0  # number of allocation events so far; each is one attempt
+    ended_count: int = 0  # number of tasks whose allocation has ended; never decreases
+    done: int = 0  # bitmap of task indexes
     allocations: tuple[Allocation, ...] = ()
     dependencies: tuple[str, ...] = ()  # jobs that must be done first; empty once the first allocation is recorded
-    dependencies_done_at: float | None = None  # when the last of the dependencies was done
-    blocked: bool = False  # some dependency isn't known to be done
+    dependencies_done_at: float | None = None  # when the last dependency was done
+    blocked: bool = False  # not all dependencies are known to be done
     chunks: ChunkIndex | None = None  # for a job whose record is split
 
     @property
@@ -51,12 +51,12 @@
 
     @property
     def pending(self) -> int:
-        """The bitmap of tasks that may be allocated now."""
+        """The bitmap of tasks that may be allocated now; empty if the job is cancelled or blocked."""
         return 0 if self.cancelled or self.blocked else self.all_tasks & ~self.done & ~self.allocated
 
     @property
     def startable_since(self) -> float:
-        """When its first task could have started: at its submission, or when its last dependency was done."""
+        """The time since when tasks may start: that of the submission, or when the last dependency was done."""
         return self.submitted if self.dependencies_done_at is None else self.dependencies_done_at
 
     @property
@@ -84,7 +84,7 @@
     def allocated_on(self, machines: Iterable[str]) -> dict[AllocationKey, int]:
         """Return the bitmaps of the tasks allocated to some machines.
 
-        An allocation that spans several chunks is stored in each of them; its tasks are joined here.
+        An allocation that spans several chunks is stored in parts, one per chunk; these are joined here.
         """
         found: dict[AllocationKey, int] = {}
         for allocation in self.allocations:
@@ -94,27 +94,27 @@
         return found
 
     def with_allocations(self, added: Iterable[Allocation]) -> Self:
-        """Return the job after an allocation event; its dependencies are done by then, and dropped."""
+        """Return the job after an allocation event, without its dependencies, which are all done by then."""
         return replace(
             self, allocations=self.allocations + tuple(added), last_attempt=self.last_attempt + 1, dependencies=()
         )
 
     def with_cancellation(self) -> Self:
-        """Return the job as it is once its cancellation is recorded."""
+        """Return the job as cancelled, in the state after this has been recorded."""
         return replace(self, cancelled=True, cancellation_sealed=True)
 
     def with_dependencies_done(self, at: float) -> Self:
-        """Return the job as it is once the last of its dependencies is done."""
+        """Return the job as unblocked; `at` is the time when its last dependency was done."""
         return replace(self, blocked=False, dependencies_done_at=at)
 
     def with_ended_tasks(self, ended: Mapping[AllocationKey, int], done: int) -> Self:
-        """Return the job without the tasks of allocations that have ended, those in the bitmap `done` being done."""
-        left = []
+        """Return the job without the allocations of ended tasks, and with the tasks in the bitmap `done` as done."""
+        remaining = []
         for allocation in self.allocations:
             removed = ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
             if not allocation.tasks & removed:
-                left.append(allocation)
+                remaining.append(allocation)
             elif allocation.tasks & ~removed:
-                left.append(replace(allocation, tasks=allocation.tasks & ~removed))
-        new = replace(self, allocations=tuple(left), done=self.done | done)
+                remaining.append(replace(allocation, tasks=allocation.tasks & ~removed))
+        new = replace(self, allocations=tuple(remaining), done=self.done | done)
         return replace(new, ended_count=self.ended_count + self.allocated_count - new.allocated_count)
--- a/tidebend/cluster_state/keys.py
+++ b/tidebend/cluster_state/keys.py
@@ -1,11 +1,11 @@
-"""Identifiers of tasks and of allocations.
+"""Identifiers of task attempts and of allocations.
 
-Both are plain tuples and not named ones: they are built for each task of each heartbeat, and building a named tuple
-takes several times as long as building a plain one.
+Both are plain rather than named tuples: one is created for each task of each heartbeat, and creating a named tuple
+takes several times as long.
 """
 
 # one attempt to run a task: (job, index of the task within the job, attempt)
 TaskKey = tuple[str, int, int]
 
-# one allocation event of a job on a machine: (machine, session of its worker, attempt)
+# the allocation of one attempt to a machine: (machine, session of its worker, attempt)
 AllocationKey = tuple[str, int, int]
--- a/tidebend/cluster_state/machine_registry.py
+++ b/tidebend/cluster_state/machine_registry.py
@@ -1,4 +1,4 @@
-"""The machines of the shards that this controller holds, and those that were released lately."""
+"""The machines of the shards that this controller holds, and recently released machines."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class MachineRegistry:
-    """Machines by name, from heartbeats; names of released machines are kept so that late heartbeats are ignored.
+    """Machines by name, from heartbeats. Names of released machines are kept to ignore their late heartbeats.
 
-    `lock` guards `machines` with all that is in them, and `released_at`.
+    `lock` guards `machines` including the state of each machine, and `released_at`.
     """
 
     def __init__(self) -> None:
-        """Begin without machines: they are learnt from their heartbeats."""
+        """Create an empty registry: machines are added by their heartbeats."""
         self.lock = threading.RLock()
         self.machines: dict[str, Machine] = {}
-        self.released_at: OrderedDict[str, float] = OrderedDict()  # name -> monotonic time, the oldest first
+        self.released_at: OrderedDict[str, float] = OrderedDict()  # name -> monotonic time, oldest first
 
     def record_heartbeat(self, report: Report, direct: bool = False, token: int = 0) -> Machine | None:
         """Apply a heartbeat, or with `direct` an answer to direct commands, and return its machine.
 
         `token` is the fencing token with which the heartbeat will be answered, 0 if there is none. Returns None for a
-        released machine and for a late heartbeat.
+        released machine and for an outdated heartbeat.
         """
         now = time.monotonic()
         with self.lock:
@@ -45,7 +45,7 @@
             return machine
 
     def mark_released(self, names: list[str]) -> None:
-        """Remove machines that were returned to the cloud provider, and ignore their heartbeats from now on."""
+        """Remove machines that were returned to the cloud provider; their heartbeats are ignored from now on."""
         with self.lock:
             for name in names:
                 self.machines.pop(name, None)
@@ -55,8 +55,8 @@
     def forget_released(self, before: float, needed: set[str]) -> None:
         """Forget machines that were released before a monotonic time, except those in `needed`.
 
-        The bound is a time and not a number of machines: thousands may be released at once, and a late heartbeat of a
-        forgotten one would make it a known machine again.
+        Names are limited by age and not by count: thousands of machines may be released at once, and a late heartbeat
+        of a forgotten one would add it again.
         """
         with self.lock:
             old = list(itertools.takewhile(lambda row: row[1] < before, self.released_at.items()))
@@ -71,6 +71,6 @@
                 self.machines.pop(name, None)
 
     def all(self) -> list[Machine]:
-        """Return the machines at this moment."""
+        """Return a snapshot of the machines."""
         with self.lock:
             return list(self.machines.values())
--- a/tidebend/cluster_state/reconciliation.py
+++ b/tidebend/cluster_state/reconciliation.py
@@ -1,6 +1,7 @@
 """The commands for a worker, from the difference between recorded allocations and its last heartbeat.
 
-All functions are called under the machine registry's lock, with allocations that were read after the heartbeat came.
+All functions are called under the machine registry's lock, with allocations that were read after the heartbeat was
+received.
 """
 
 from __future__ import annotations
@@ -14,14 +15,15 @@
 from tidebend.cluster_state.task_bitmap import set_bits
 from tidebend.protocol import Command, TaskReport
 
-Allocations = list[tuple[Job, Allocation]]  # those on one machine, each with its job
+JobAllocations = list[tuple[Job, Allocation]]  # on one machine, each with its job
 
 
-def stop_commands_for_cancelled(machine: Machine, allocations: Allocations) -> list[Command]:
+def stop_commands_for_cancelled(machine: Machine, allocations: JobAllocations) -> list[Command]:
     """Return stop commands for the tasks of cancelled jobs.
 
-    A cancelled job stays cancelled whoever holds the shard by now. So these commands are safe with every fencing token
-    that the worker still accepts, also after our own lease has run out, when no other command may be sent.
+    A cancelled job stays cancelled whichever controller holds the shard by now. These commands are therefore safe with
+    any fencing token that the worker still accepts, even after this controller's lease has expired, when no other
+    command may be sent.
     """
     return [
         Command("stop", job.id, index, allocation.attempt, 0.0)
@@ -32,13 +34,14 @@
     ]
 
 
-def commands_for(machine: Machine, allocations: Allocations, token: int, direct: bool) -> list[Command]:
-    """Return the commands for a worker, stops first, and remember its starts.
+def commands_for(machine: Machine, allocations: JobAllocations, token: int, direct: bool) -> list[Command]:
+    """Return the commands for a worker, stops first, and track the start commands among them.
 
-    `token` is the fencing token that the commands will carry; `direct` says that they aren't the answer to a heartbeat.
+    `token` is the fencing token that the commands will carry; `direct` tells that they are sent directly rather than
+    in the answer to a heartbeat.
 
-    A start is repeated until the task is reported. This is safe: an attempt that is still allocated was never
-    forgotten by the worker, and so the worker runs it only once.
+    A start is repeated until the task is reported. This is safe: the worker is never told to forget an attempt that is
+    still allocated, so it runs the attempt only once.
     """
     now = time.monotonic()
     commands: list[Command] = []
@@ -46,10 +49,10 @@
     for job, allocation in allocations:
         if allocation.session == machine.session:
             _add_commands_for_allocation(machine, job, allocation, commands, allocated)
-    _remember_starts(machine, commands, token, direct, now)
-    _discard_settled(machine, allocated)
+    _track_starts(machine, commands, token, direct, now)
+    _discard_obsolete(machine, allocated)
     commands += _commands_for_unallocated(machine, allocated, now)
-    # An answer holds a limited number of commands: stops don't wait behind hundreds of starts.
+    # An answer holds a limited number of commands, so stops must not wait behind hundreds of starts.
     return sorted(commands, key=lambda command: command.op != "stop")
 
 
@@ -71,11 +74,11 @@
 
 
 def _is_saving_in_grace(task: TaskReport, grace_s: float) -> bool:
-    """Whether a task is writing its checkpoint already, as a stop with grace asks it to."""
+    """Whether a task is writing its checkpoint already, which is what a stop with a grace period asks for."""
     return task.state == "saving" and grace_s > 0
 
 
-def _remember_starts(machine: Machine, commands: list[Command], token: int, direct: bool, now: float) -> None:
+def _track_starts(machine: Machine, commands: list[Command], token: int, direct: bool, now: float) -> None:
     for command in commands:
         if command.op != "start":
             continue
@@ -83,17 +86,17 @@
         if direct:
             machine.starts.record_direct_start(key, token, now)
         else:
-            machine.starts.record_answered_start(key, machine.report_sequence)
+            machine.starts.record_start_in_answer(key, machine.report_sequence)
 
 
-def _discard_settled(machine: Machine, allocated: set[TaskKey]) -> None:
-    """Forget stop requests and direct starts of tasks that are neither allocated nor reported any more.
+def _discard_obsolete(machine: Machine, allocated: set[TaskKey]) -> None:
+    """Discard stop requests and direct starts of tasks that are neither allocated nor reported any more.
 
-    A stop request stays for as long as the task is allocated: that it wasn't started may have been taken for proof of
-    its end already, and a start would run it beside the attempt that replaces it.
+    A stop request is kept as long as the task is allocated: the task may have been considered ended already because it
+    can no longer start, and a new start would run it in parallel with the attempt that replaces it.
     """
-    settled = [key for key in machine.stop_requests if key not in allocated and key not in machine.tasks]
-    for key in settled:
+    obsolete = [key for key in machine.stop_requests if key not in allocated and key not in machine.tasks]
+    for key in obsolete:
         del machine.stop_requests[key]
     machine.starts.retain_direct_starts(allocated, machine.tasks)
 
@@ -101,7 +104,7 @@
 def _commands_for_unallocated(machine: Machine, allocated: set[TaskKey], now: float) -> list[Command]:
     """Return commands that stop and forget reported tasks without an allocation.
 
-    Either their end is recorded, or they never had an allocation: nobody needs them.
+    Such a task isn't needed: either its end has been recorded, or it never had an allocation.
     """
     commands = []
     deferred = False
@@ -112,7 +115,7 @@
             commands.append(Command("stop", *key))
         elif machine.can_forget(key):
             commands.append(Command("forget", *key))
-            machine.starts.forget_answered_start(key)
+            machine.starts.forget_start_in_answer(key)
         else:
             deferred = True
     machine.forgetting_deferred_since = (machine.forgetting_deferred_since or now) if deferred else None
--- a/tidebend/cluster_state/record_chunks.py
+++ b/tidebend/cluster_state/record_chunks.py
@@ -1,7 +1,7 @@
-"""Chunks of large jobs: fixed ranges of tasks, each with a record that always fits into a value.
+"""Chunks of large jobs: fixed ranges of tasks, each with a record that always fits into one value.
 
-The job's head says which chunks have a record (open) and which need none any more (closed), so that the version of the
-head determines the set of chunks. A chunk's record has the allocations and done tasks of its range.
+The job's head lists which chunks have a record (open) and which no longer need one (closed), so the version of the head
+determines the set of chunks. A chunk's record contains the allocations and done tasks of its range.
 """
 
 from __future__ import annotations
@@ -15,31 +15,31 @@
 
 # key prefix of chunks
 CHUNK_PREFIX = LIVE + "part/"
-# bytes of a value to allow for each task of a chunk: what the allocation of one task to a machine of its own takes
+# bytes of a value reserved for each task of a chunk: the size of an allocation of one task to one machine
 BYTES_PER_TASK = 24
 
 
 def chunk_size(value_bytes: int) -> int:
-    """Return the number of tasks in a chunk, for values of at most so many bytes.
+    """Return the number of tasks in a chunk, for values of at most `value_bytes`.
 
-    The allocations made at one event fit even if each task goes to a machine of its own.
+    The allocations of one event fit even if each task is allocated to a different machine.
     """
     return max(1, value_bytes // BYTES_PER_TASK)
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A chunk; tasks are numbered within the job here, and from the first of the chunk in the record."""
+    """A chunk of a job. Task indexes are relative to the job here, and to the chunk in its record."""
 
-    version: int = 0  # of its record; 0 if there is none yet
-    last_attempt: int = 0  # the highest attempt so far
-    ended_count: int = 0  # tasks of allocations that have ended
-    done: int = 0  # bitmap
+    version: int = 0  # of the chunk's record; 0 if there is none yet
+    last_attempt: int = 0  # the highest attempt so far in this chunk, or in the job before its record was split
+    ended_count: int = 0  # number of tasks whose allocation has ended
+    done: int = 0  # bitmap of task indexes
     allocations: tuple[Allocation, ...] = ()
-    source: int = 0  # the version of the job's record from which it was split, 0 once it has been changed
+    source: int = 0  # version of the job's record that the chunk was split from; 0 once the chunk was changed
 
     def pack(self, first: int) -> dict[str, Any]:
-        """Return the record; `first` is the number of the chunk's first task."""
+        """Return the record; `first` is the index of the chunk's first task."""
         value: dict[str, Any] = {"started": self.last_attempt, "ended": self.ended_count}
         if self.done:
             value["done"] = format_ranges(self.done >> first)
@@ -51,7 +51,7 @@
 
     @staticmethod
     def unpack(value: dict[str, Any], version: int, first: int) -> Chunk:
-        """Read a record of this version; `first` is the number of the chunk's first task."""
+        """Parse a record; `version` is its version, `first` the index of the chunk's first task."""
         return Chunk(
             version=version,
             last_attempt=value["started"],
@@ -64,39 +64,39 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkIndex:
-    """What a job's head says of its chunks, and the records of the open ones that are known."""
+    """The chunks of a job as listed in its head, and the known records of the open ones."""
 
     size: int  # tasks in a chunk
-    opened: int = 0  # bitmap of the chunks that have a record
-    closed: int = 0  # bitmap of the chunks that need no record any more
-    ended_count: int = 0  # tasks of allocations in closed chunks, all of which have ended
-    last_attempt: int = 0  # the highest attempt in chunks without a record
-    rows: tuple[tuple[int, Chunk], ...] = ()  # number and chunk, in ascending order
-
-    def mask(self, number: int) -> int:
-        """Return the bitmap of a chunk's tasks; of the last chunk it may go beyond the job's last task."""
+    open_chunks: int = 0  # bitmap of the chunks that have a record
+    closed_chunks: int = 0  # bitmap of the chunks that no longer need a record
+    ended_count: int = 0  # number of tasks in closed chunks whose allocation has ended
+    last_attempt: int = 0  # the highest attempt in closed chunks, or before the split
+    records: tuple[tuple[int, Chunk], ...] = ()  # (number, chunk) of open chunks, in ascending order
+
+    def tasks_in(self, number: int) -> int:
+        """Return the bitmap of a chunk's tasks; for the last chunk it may extend beyond the job's last task."""
         return bit_range(number * self.size, (number + 1) * self.size - 1)
 
-    def numbers(self, tasks: int) -> list[int]:
-        """Return the numbers of the chunks that some of these tasks lie in."""
+    def chunks_with(self, tasks: int) -> list[int]:
+        """Return the numbers of the chunks that contain any of these tasks."""
         found = []
         while tasks:
             number = ((tasks & -tasks).bit_length() - 1) // self.size
             found.append(number)
-            tasks &= ~self.mask(number)
+            tasks &= ~self.tasks_in(number)
         return found
 
     def pack(self) -> list[Any]:
-        """Return the form in the head's record: size, open and closed chunks in hexadecimal, ended, started."""
-        return [self.size, f"{self.opened:x}", f"{self.closed:x}", self.ended_count, self.last_attempt]
+        """Return the form in the head: size, open and closed chunks in hexadecimal, ended tasks, last attempt."""
+        return [self.size, f"{self.open_chunks:x}", f"{self.closed_chunks:x}", self.ended_count, self.last_attempt]
 
     @staticmethod
     def unpack(row: list[Any]) -> ChunkIndex:
-        """Read what `pack` wrote; the records of chunks are added by `ChunkedJob.with_chunk_records`."""
-        size, opened, closed, *counts = row
-        return ChunkIndex(size, int(opened, 16), int(closed, 16), *counts)
+        """Parse the form in the head; `ChunkedJob.with_chunk_records` adds the records of the chunks."""
+        size, open_chunks, closed_chunks, *counts = row
+        return ChunkIndex(size, int(open_chunks, 16), int(closed_chunks, 16), *counts)
 
     @property
     def missing_records(self) -> int:
         """The bitmap of open chunks whose records aren't known."""
-        return self.opened & ~sum(1 << number for number, _ in self.rows)
+        return self.open_chunks & ~sum(1 << number for number, _ in self.records)
--- a/tidebend/cluster_state/task_bitmap.py
+++ b/tidebend/cluster_state/task_bitmap.py
@@ -1,4 +1,4 @@
-"""Sets of task numbers: integers used as bitmaps in memory, ranges ("0-15,18") in records."""
+"""Sets of task indexes: integers used as bitmaps in memory, ranges ("0-15,18") in records."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def bit_range(first: int, last: int) -> int:
-    """Return the bitmap of the numbers from `first` to `last`, both included."""
+    """Return the bitmap of the indexes from `first` to `last`, inclusive."""
     return ((1 << (last - first + 1)) - 1) << first
 
 
 def format_ranges(mask: int) -> str:
-    """Return the form in records: ascending numbers and ranges, separated by commas; empty for no tasks."""
+    """Return the stored form: ascending indexes and ranges, separated by commas; empty for no tasks."""
     ranges = []
     base = 0
     while mask:
@@ -26,7 +26,7 @@
 
 
 def parse_ranges(text: str) -> int:
-    """Read what `format_ranges` wrote; raises ValueError for anything but numbers and ranges."""
+    """Parse the stored form; raises ValueError for anything but indexes and ranges."""
     mask = 0
     for part in text.split(",") if text else ():
         first, _, last = part.partition("-")
@@ -35,7 +35,7 @@
 
 
 def set_bits(mask: int) -> Iterator[int]:
-    """Yield the task numbers in ascending order."""
+    """Yield the indexes in a bitmap in ascending order."""
     while mask:
         lowest_bit = mask & -mask
         yield lowest_bit.bit_length() - 1
@@ -43,7 +43,7 @@
 
 
 def lowest_bits(mask: int, count: int) -> int:
-    """Return the bitmap of the `count` lowest members."""
+    """Return the bitmap of the `count` lowest indexes, or of all if there are fewer."""
     if mask.bit_count() <= count:
         return mask
     selected = 0
--- a/tidebend/controller/records/__init__.py
+++ b/tidebend/controller/records/__init__.py
@@ -1,1 +1,1 @@
-"""Job records written by compare-and-swap, and what the reports of workers prove for them."""
+"""Writing of job records by compare-and-swap, and tracking of the completions that heartbeats confirm."""
--- a/tidebend/controller/records/chunked_transactions.py
+++ b/tidebend/controller/records/chunked_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions on jobs that are kept as a head record with chunks."""
+"""Transactions on jobs that are stored as a head record with chunks."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 # writes besides the chunks: the head and the team's record
 WRITES_BESIDES_CHUNKS = 2
-# the least number of writes that a transaction may have whatever the limits: the end of a job takes so many
+# writes that a transaction may have whatever the limits, since the end of a job takes this many
 MIN_WRITES = 4
-# conditions that may come on top of the job's own: the team's record, and the shards of the change
+# conditions besides the job's own: the team's record, and the shards that the change depends on
 RESERVED_CONDITIONS = 3
 
 
@@ -27,26 +27,26 @@
 class _ChunkWrites:
     """The changed chunks of one transaction."""
 
-    chunks: dict[int, Chunk] = field(default_factory=dict)  # as they will be, finished ones included
-    finished: list[int] = field(default_factory=list)  # chunks that need no record any more
+    chunks: dict[int, Chunk] = field(default_factory=dict)  # in their new state, including finished ones
+    finished: list[int] = field(default_factory=list)  # numbers of chunks that no longer need a record
     conditions: dict[str, int] = field(default_factory=dict)
     writes: list[Write] = field(default_factory=list)
     size_bytes: int = 0
 
 
 class ChunkedTransactionBuilder:
-    """Writes the chunks in which a job differs, and its head if that differs too."""
+    """Builds transactions that write the changed chunks of a job, and its head if that has changed."""
 
     def __init__(self, job_cache: JobCache, record_limits: RecordLimits) -> None:
-        """Read the versions of chunks that are not open from `job_cache`."""
+        """Take the versions of chunks that aren't open from `job_cache`."""
         self._job_cache = job_cache
         self._record_limits = record_limits
 
     def build(self, job: Job, new: Job, usage: TeamUsage) -> JobTransaction | None:
-        """Return the transaction that makes `new` of `job`; None if there is nothing to write, or too much.
+        """Return the transaction that changes `job` to `new`; None if there is nothing to write, or too much.
 
-        Of a change to many chunks only the first ones are written; the others follow when the change is made again at
-        the next mapping event. A start of a gang is written as a whole or not at all.
+        Of a change to many chunks only the first ones are written; the next mapping event makes the change again and
+        so writes further chunks. The start of a gang is written completely or not at all.
         """
         index = job.chunks
         assert index is not None
@@ -60,12 +60,12 @@
             size_bytes += packed_bytes(head.pack())
         conditions = {job.key: job.version, **written.conditions}
         if job.spec.kind != "array":
-            # rules that concern the whole job were checked against all its chunks
-            conditions.update((chunk_key(job.id, number), chunk.version) for number, chunk in index.rows)
+            # the change was checked against rules for the whole job, so no chunk may have changed since
+            conditions.update((chunk_key(job.id, number), chunk.version) for number, chunk in index.records)
         if not writes or not self._fits(writes, conditions):
             return None
         assert head.chunks is not None
-        head = head.with_chunk_records(dict(head.chunks.rows))
+        head = head.with_chunk_records(dict(head.chunks.records))
         return JobTransaction(
             head, conditions, writes, usage.with_tasks_allocated(head.spec, head.charged - job.charged), size_bytes
         )
@@ -73,11 +73,11 @@
     def _chunks_to_write(self, job: Job, new: Job) -> list[int]:
         numbers = new.changed_chunks(job)
         if job.spec.kind == "gang" and new.allocated_count > job.allocated_count:
-            return numbers  # a gang starts as a whole
+            return numbers  # all tasks of a gang start together
         return numbers[: max(1, self._record_limits.max_writes - WRITES_BESIDES_CHUNKS)]
 
     def _write_chunks(self, job: Job, new: Job, index: ChunkIndex, numbers: list[int]) -> _ChunkWrites | None:
-        """Return the writes of the chunks with these numbers; None if one of them doesn't fit a record."""
+        """Return the writes of the chunks with these numbers; None if one of them doesn't fit into a record."""
         versions = chunk_versions(self._job_cache, job)
         written = _ChunkWrites()
         for number in numbers:
@@ -93,7 +93,7 @@
             value = chunk.pack(number * index.size)
             size_bytes = packed_bytes(value)
             if size_bytes > self._record_limits.max_value_bytes:
-                log.error("job %s: a chunk's record would be too long", job.id)
+                log.error("job %s: the record of a chunk would exceed the size limit", job.id)
                 return None
             written.size_bytes += size_bytes
             written.writes.append(put(key, value))
@@ -101,14 +101,14 @@
 
     @staticmethod
     def _head(new: Job, index: ChunkIndex, written: _ChunkWrites) -> Job:
-        """Return the job as its head describes it once the chunks are written."""
-        opened = index.opened | sum(1 << number for number in written.chunks)
-        chunks = {**dict(index.rows), **written.chunks}
-        head = replace(new, chunks=replace(index, opened=opened, rows=tuple(sorted(chunks.items()))))
+        """Return the job with its head as it is once the chunks are written."""
+        open_chunks = index.open_chunks | sum(1 << number for number in written.chunks)
+        chunks = {**dict(index.records), **written.chunks}
+        head = replace(new, chunks=replace(index, open_chunks=open_chunks, records=tuple(sorted(chunks.items()))))
         return head.with_chunks_closed(written.finished) if written.finished else head
 
     def _fits(self, writes: list[Write], conditions: dict[str, int]) -> bool:
-        """Whether a transaction holds this, with the team's record and the caller's conditions on top."""
+        """Whether these fit into one transaction, together with the team's record and the caller's conditions."""
         return (
             len(writes) + 1 <= max(self._record_limits.max_writes, MIN_WRITES)
             and len(conditions) + RESERVED_CONDITIONS <= self._record_limits.max_conditions
--- a/tidebend/controller/records/completion_recorder.py
+++ b/tidebend/controller/records/completion_recorder.py
@@ -1,4 +1,4 @@
-"""Writes confirmed completions to the job records, several at a time."""
+"""Writing of confirmed completions to the job records, in batches."""
 
 from __future__ import annotations
 
@@ -19,36 +19,36 @@
 
 log = logging.getLogger("completions")
 
-# the share of our writes to the state service that completions which aren't urgent may take, about
+# the approximate share of this controller's writes to the key-value store that completions may take if not urgent
 COMPLETIONS_WRITE_SHARE = 0.25
-# the least time between two allocations of an array's successive tasks, as a share of the gathering time
+# the minimum time between two allocations of an array's successive tasks, as a share of the batch delay
 ALLOCATION_PAUSE_SHARE = 0.5
 
 
 class CompletionEdit(NamedTuple):
-    """An edit that records completions, and what of the team's limit becomes available by it."""
+    """An edit that records completions, and the part of the team's limit that it frees."""
 
     freed: QuotaAmountLike
     edit: JobEdit
 
 
 class CompletionRecorder:
-    """Delays completions for a moment so that one write records several, and decides when the delay is over.
+    """Delays completions so that one write records several, and decides when the delay is over.
 
-    The capacity of ended tasks is available for planning at once, since it is planned from heartbeats: only the records
-    wait. `batch_delay_s` is the shortest delay, `allocation_pause_s` the least time between two allocations of an array
-    whose tasks follow one another as capacity becomes free, since each allocation costs a write.
+    The delay concerns only the records: scheduling is based on heartbeats, so the capacity of ended tasks is available
+    at once. `batch_delay_s` is the minimum delay. `allocation_pause_s` is the minimum time between two allocations of
+    an array whose tasks follow one another as capacity becomes free, since each allocation costs a write.
     """
 
     def __init__(
         self, settings: Settings, coordinator: Coordinator, job_cache: JobCache, job_writer: JobWriter
     ) -> None:
-        """Take the delays from the settings' `gather` knob, in workers' leases."""
+        """Derive the delays from the knob `gather`, a multiple of the worker lease."""
         self._settings = settings
         self._coordinator = coordinator
         self._job_cache = job_cache
         self._job_writer = job_writer
-        self._waiting_since: dict[str, float] = {}  # job -> steady time since which its completions wait
+        self._waiting_since: dict[str, float] = {}  # job -> monotonic time since which its completions wait
         self.batch_delay_s = settings.knobs.gather * settings.lease_s
         self.allocation_pause_s = ALLOCATION_PAUSE_SHARE * self.batch_delay_s
 
@@ -62,10 +62,10 @@
         self._waiting_since.pop(job_id, None)
 
     def edits_for_team(self, team: str, unrecorded: dict[str, UnrecordedCompletions]) -> list[CompletionEdit]:
-        """Return the edits that record the completions of a team's jobs, those that free the most first.
+        """Return the edits that record the completions of a team's jobs, in descending order of what they free.
 
-        They are written ahead of the team's next allocation, in the same transaction if it has room: a team that waits
-        at its limit must not wait as well for completions to be gathered.
+        They are written before the team's next allocation, in the same transaction if it has room, so that a team at
+        its limit doesn't wait for the batch delay.
         """
         found = []
         for job_id, completions in unrecorded.items():
@@ -75,10 +75,10 @@
         return sorted(found, key=lambda row: (-row.freed[0], -row.freed[1], row.edit.job_id))
 
     def record(self, unrecorded: dict[str, UnrecordedCompletions]) -> None:
-        """Write the completions that have been gathered for long enough, and the urgent ones.
+        """Write the completions that have waited for the batch delay, and the urgent ones.
 
-        Urgent are those of jobs other than arrays, the last ones of a job in our shards, and those of a team that has
-        reached its limit. The others are also written together with the job's next allocation. Raises
+        Urgent are those of jobs other than arrays, the last ones of a job in this controller's shards, and those of a
+        team that has reached its limit. The others are also written together with the job's next allocation. Raises
         `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.write_edits` does.
         """
         now = time.monotonic()
@@ -95,14 +95,14 @@
             recorded = self._job_writer.write_edits(edits)
             for job_id in recorded:
                 self.mark_recorded(job_id)
-            log.debug("ends recorded for %s", ", ".join(recorded))
+            log.debug("recorded completions of jobs %s", ", ".join(recorded))
 
     def conditions(self, completions: UnrecordedCompletions) -> dict[str, int]:
-        """Return the conditions that the shards from whose heartbeats the completions are known are still ours."""
+        """Return the conditions that this controller still holds the shards whose heartbeats confirmed them."""
         return dict(self._coordinator.condition(grant) for grant in completions.grants)
 
     def apply(self, job: Job, _: TeamUsage, completions: UnrecordedCompletions) -> Job:
-        """Return the job with the completions, in a form that its record can hold."""
+        """Return the job with the completions applied, as far as its record can hold them."""
         new = job.with_ended_tasks(completions.ended, completions.done)
         if (
             completions.done
@@ -110,8 +110,8 @@
             and not self._job_writer.record_limits.fits(new)
             and not (new.complete or new.cancelled)
         ):
-            # The indexes of the done tasks may be too scattered for a record. The platform keeps results, so a task
-            # that isn't recorded as done and is started again is done at once.
+            # The indexes of done tasks may be too scattered to fit into the record. Tasks that aren't recorded as done
+            # are started again and are done at once, since the platform keeps their results.
             without_done = job.with_ended_tasks(completions.ended, 0)
             return new if packed_bytes(new.pack()) <= self._job_writer.record_limits.max_value_bytes else without_done
         return new
@@ -120,7 +120,7 @@
         return JobEdit(job_id, partial(self.apply, completions=completions), self.conditions(completions))
 
     def _batch_delay_s_for(self, jobs: int) -> float:
-        """Return the gathering time with completions of `jobs` jobs: longer with more, to leave writes for others."""
+        """Return the batch delay for completions of `jobs` jobs: longer with more, to leave writes for other uses."""
         writes_per_s = COMPLETIONS_WRITE_SHARE * self._job_writer.writes_per_s
         return max(self.batch_delay_s, min(self._settings.lease_s, jobs / writes_per_s))
 
@@ -135,14 +135,14 @@
         )
 
     def _are_last_of_job(self, job: Job, completions: UnrecordedCompletions) -> bool:
-        """Whether nothing of the job remains in our shards once these completions are recorded."""
+        """Whether no task of the job remains in this controller's shards once these completions are recorded."""
         if job.cancelled or job.done | completions.done == job.all_tasks:
             return True
-        our_shards = {grant.shard for grant in self._coordinator.grants()}
+        held_shards = {grant.shard for grant in self._coordinator.grants()}
         return not job.pending and not any(
             allocation.tasks & ~completions.ended.get((allocation.machine, allocation.session, allocation.attempt), 0)
             for allocation in job.allocations
-            if shard_of(allocation.zone) in our_shards
+            if shard_of(allocation.zone) in held_shards
         )
 
     def _is_at_limit(self, spec: JobSpec) -> bool:
--- a/tidebend/controller/records/completion_tracker.py
+++ b/tidebend/controller/records/completion_tracker.py
@@ -1,4 +1,4 @@
-"""Finds completions of tasks by comparing allocations with the workers' heartbeats."""
+"""Detection of completed tasks by comparing allocations with the workers' heartbeats."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 
 class CompletionTracker:
-    """The completions in our shards that aren't recorded yet, and what follows from them for the scheduler.
+    """The unrecorded completions in this controller's shards, and what the scheduler derives from task outcomes.
 
-    `collect` is called at each mapping event, before planning; `record_completions` after it.
+    `collect` is called at each mapping event before planning, `record_completions` after it.
     """
 
     def __init__(
@@ -54,24 +54,24 @@
         self._outcomes = TaskOutcomeObserver(estimates, self._retry_backoffs)
         self._uncertain_starts = UncertainStartResolver(settings, coordinator, machine_registry)
         self.unrecorded: dict[str, UnrecordedCompletions] = {}  # by job
-        self.freed_by_team: dict[
-            str, QuotaAmountLike
-        ] = {}  # team -> what of its limit the unrecorded completions make available
+        # team -> part of its limit that the unrecorded completions free
+        self.freed_by_team: dict[str, QuotaAmountLike] = {}
 
     @property
     def backoffs(self) -> dict[str, RetryBackoff]:
-        """The backoffs of jobs with failures, by job."""
+        """The backoffs of failed jobs, by job."""
         return self._retry_backoffs.by_job
 
     @property
     def allocation_pause_s(self) -> float:
-        """The least time in seconds between two allocations of an array's successive tasks."""
+        """The minimum time in seconds between two allocations of an array's successive tasks."""
         return self.recorder.allocation_pause_s
 
     def collect(self) -> None:
-        """Find the completions that are confirmed by heartbeats of workers that have confirmed our fencing token.
+        """Find the completions that heartbeats confirm, and replace `unrecorded` and `freed_by_team`.
 
-        Also sends the stops of cancelled jobs, and replaces `unrecorded` and `freed_by_team`.
+        Only workers that have confirmed this controller's fencing token are considered. Also sends the stop commands
+        of cancelled jobs.
         """
         found: dict[str, UnrecordedCompletions] = {}
         for grant in self.coordinator.grants():
@@ -87,9 +87,9 @@
         self.recorder.forget_except(found)
 
     def _add_jobs_without_final_record(self, found: dict[str, UnrecordedCompletions]) -> set[str]:
-        """Add the jobs that are over but for their final record; return the machines with tasks of cancelled jobs.
+        """Add ended jobs that lack only their final record; return the machines with tasks of cancelled jobs.
 
-        Such a job was cancelled with a job that it depends on. Only the leader writes its final record: if all
+        Such a job was cancelled because of a job that it depends on. Only the leader writes its final record: if all
         controllers tried, all but one would fail.
         """
         machines_to_stop: set[str] = set()
@@ -112,7 +112,7 @@
         return freed
 
     def _reconcile_machine(self, machine: Machine, grant: ShardGrant, found: dict[str, UnrecordedCompletions]) -> None:
-        """Compare a machine's allocations with its last heartbeat, and add what has ended to `found`."""
+        """Compare a machine's allocations with its last heartbeat, and add the ended tasks to `found`."""
         now = time.monotonic()
         with self.machine_registry.lock:
             if machine.token != grant.token:
@@ -122,7 +122,7 @@
                 ended, done = self._ended_tasks(machine, job, allocation, now)
                 if not ended:
                     continue
-                machine.needs_reconciliation = True  # until the completions are recorded
+                machine.needs_reconciliation = True  # again and again until the completions are recorded
                 completions = found.setdefault(job.id, UnrecordedCompletions())
                 key = (allocation.machine, allocation.session, allocation.attempt)
                 completions.ended[key] = completions.ended.get(key, 0) | ended
@@ -134,7 +134,7 @@
     def _ended_tasks(self, machine: Machine, job: Job, allocation: Allocation, now: float) -> tuple[int, int]:
         """Return the bitmaps of an allocation's tasks that have ended, and of those of them that are done."""
         if allocation.session < machine.session:
-            return allocation.tasks, 0  # at the start of a later session the worker killed and forgot all tasks
+            return allocation.tasks, 0  # at the start of its later session the worker killed and forgot all tasks
         if allocation.session > machine.session:
             return 0, 0
         ended = done = 0
@@ -152,34 +152,34 @@
         return ended, done
 
     def _cannot_run_anymore(self, machine: Machine, job: Job, key: TaskKey) -> bool:
-        """Whether a task that isn't in the heartbeat, and that is to be stopped, can't be started any more.
+        """Whether a task that isn't in the heartbeat is to be stopped and can't be started any more.
 
-        Starts by earlier holders of the shard carry lower tokens than the one that the worker has confirmed.
+        Starts by earlier holders of the shard need no check: the worker has confirmed a higher token than theirs.
         """
         return (job.cancelled or key in machine.stop_requests) and machine.can_no_longer_start(key)
 
     def record_completions(self) -> None:
-        """Write the completions that have been gathered for long enough, and the urgent ones.
+        """Write the completions that have waited for the batch delay, and the urgent ones.
 
         Raises `NotExecutedError` or `OutcomeUnknownError` as `JobWriter.write_edits` does.
         """
         self.recorder.record(self.unrecorded)
 
     def mark_recorded(self, job_id: str) -> None:
-        """Note that a job's completions were recorded in the transaction of its next allocation."""
+        """Drop a job's completions: they were recorded in the transaction of its next allocation."""
         self.recorder.mark_recorded(job_id)
         self.unrecorded.pop(job_id, None)
 
     def edits_for_team(self, team: str) -> list[CompletionEdit]:
-        """Return the edits that record a team's completions, those that free the most of its limit first."""
+        """Return the edits that record a team's completions, in descending order of what they free."""
         return self.recorder.edits_for_team(team, self.unrecorded)
 
     def conditions(self, completions: UnrecordedCompletions) -> dict[str, int]:
-        """Return the conditions that the shards from whose heartbeats the completions are known are still ours."""
+        """Return the conditions that this controller still holds the shards whose heartbeats confirmed them."""
         return self.recorder.conditions(completions)
 
     def job_with_completions(self, job: Job, usage: TeamUsage, completions: UnrecordedCompletions) -> Job:
-        """Return the job with the completions, in a form that its record can hold."""
+        """Return the job with the completions applied, as far as its record can hold them."""
         return self.recorder.apply(job, usage, completions)
 
     def is_crash_looping(self, job: Job, now: float) -> bool:
@@ -187,7 +187,7 @@
         return self._retry_backoffs.is_crash_looping(job, now)
 
     def machines_to_avoid(self, job: Job, now: float) -> frozenset[str]:
-        """Return the machines on which a crash-looping job failed lately."""
+        """Return the machines on which a crash-looping job failed recently."""
         return self._retry_backoffs.machines_to_avoid(job, now)
 
     def crash_looping_jobs(self) -> list[str]:
--- a/tidebend/controller/records/edit_batches.py
+++ b/tidebend/controller/records/edit_batches.py
@@ -1,4 +1,4 @@
-"""Combines edits of several jobs into transactions that also contain their teams' records."""
+"""Batches of edits to several jobs, written in one transaction together with their teams' records."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @dataclass
 class PreparedEdit:
-    """An edit applied to its job, with all that it writes."""
+    """An edit applied to its job, with everything that it writes."""
 
     edit: JobEdit
     job_before: Job
     transaction: JobTransaction  # without the team's record
-    conditions: dict[str, int]  # all of them, the team's and the edit's own included
-    writes: list[Write]  # all of them
-    added: dict[str, QuotaAmountLike]  # zone -> what the edit allocates less what it ends
-    changes_team_usage: bool  # whether later edits of the same transaction have to see its effect on the team
+    conditions: dict[str, int]  # all conditions, including those of the team's records and of the edit
+    writes: list[Write]  # all writes, including those of the team's records
+    usage_changes: dict[str, QuotaAmountLike]  # zone -> resources allocated minus resources of ended tasks
+    changes_team_usage: bool  # whether later edits of the batch must take its effect on the team into account
 
     @property
     def team(self) -> str:
@@ -42,17 +42,18 @@
 
     conditions: dict[str, int] = field(default_factory=dict)
     writes: dict[str, Write] = field(default_factory=dict)  # by key
-    team_usages: dict[str, TeamUsage] = field(default_factory=dict)  # as they are with the edits so far
-    added: dict[tuple[str, str], QuotaAmountLike] = field(default_factory=dict)  # (team, zone) -> allocated less ended
-    jobs: dict[str, Job] = field(default_factory=dict)  # as they are once the transaction has been executed
+    team_usages: dict[str, TeamUsage] = field(default_factory=dict)  # by team, after the edits so far
+    # (team, zone) -> resources allocated minus resources of ended tasks
+    usage_changes: dict[tuple[str, str], QuotaAmountLike] = field(default_factory=dict)
+    jobs: dict[str, Job] = field(default_factory=dict)  # by id, after the transaction
     edits: list[JobEdit] = field(default_factory=list)
     size_bytes: int = 0
 
     def has_room_for(self, prepared: PreparedEdit, max_writes: int, max_conditions: int) -> bool:
-        """Whether an edit can join the batch; any edit fits an empty one.
+        """Whether an edit can join the batch; any edit can join an empty one.
 
-        An edit with a condition on another version of a key than the batch has can't join: one condition would replace
-        the other, and what was made from the older version would be written unchecked.
+        An edit can't join if it has a condition on another version of a key than the batch has: one condition would
+        replace the other, and the edit that was based on the other version would be written unchecked.
         """
         if not self.writes:
             return True
@@ -64,17 +65,17 @@
         )
 
     def add(self, prepared: PreparedEdit) -> None:
-        """Add an edit for which there is room."""
+        """Add an edit for which `has_room_for` was true."""
         transaction, before = prepared.transaction, prepared.job_before
         self.conditions.update(prepared.conditions)
         self.writes.update((write[0], write) for write in prepared.writes)
         if prepared.changes_team_usage:
-            # what ends in this transaction is available to the allocations that follow in it
+            # resources freed by this edit are available to later allocations in the same transaction
             ended_count = transaction.job.ended_count - before.ended_count
             self.team_usages[prepared.team] = transaction.usage.with_tasks_ended(before.spec, ended_count)
-        for zone, (cpus, gpus) in prepared.added.items():
-            total = self.added.get((prepared.team, zone), (0.0, 0.0))
-            self.added[prepared.team, zone] = (total[0] + cpus, total[1] + gpus)
+        for zone, (cpus, gpus) in prepared.usage_changes.items():
+            total = self.usage_changes.get((prepared.team, zone), (0.0, 0.0))
+            self.usage_changes[prepared.team, zone] = (total[0] + cpus, total[1] + gpus)
         self.jobs[prepared.edit.job_id] = transaction.job
         self.edits.append(prepared.edit)
         self.size_bytes += transaction.size_bytes
@@ -82,11 +83,11 @@
 
 @dataclass
 class BuiltBatch:
-    """A batch, and the edits that aren't in it."""
+    """A batch, and the edits that didn't become part of it."""
 
     batch: EditBatch
-    remaining: list[JobEdit]  # for which there was no room
-    to_be_split: list[JobEdit]  # whose jobs' records have to be split into chunks first
+    remaining: list[JobEdit]  # for which the batch had no room
+    to_be_split: list[JobEdit]  # the records of whose jobs must be split into chunks first
 
 
 class EditBatchBuilder:
@@ -99,16 +100,16 @@
         record_limits: RecordLimits,
         transaction_builder: TransactionBuilder,
     ) -> None:
-        """Check allocations against zone quotas by `quota_rebalancer`."""
+        """Use `quota_rebalancer` to check allocations against zone quotas."""
         self._job_cache = job_cache
         self._quota_rebalancer = quota_rebalancer
         self._record_limits = record_limits
         self._transaction_builder = transaction_builder
 
     def build(self, edits: list[JobEdit], max_writes: int) -> BuiltBatch:
-        """Combine as many edits as one transaction holds, from the first on.
+        """Combine as many edits as fit into one transaction, starting with the first.
 
-        Edits that have nothing to write, or for which the team's quota has no room, are dropped.
+        Edits are dropped if they have nothing to write, or if their allocations exceed the team's quota.
         """
         batch = EditBatch()
         to_be_split: list[JobEdit] = []
@@ -120,7 +121,7 @@
                 if self._record_limits.can_be_split(error.job):
                     to_be_split.append(edit)
                 else:
-                    log.error("job %s: its record would be too long", edit.job_id)
+                    log.error("job %s: its record would exceed the size limit", edit.job_id)
                 continue
             if prepared is None:
                 continue
@@ -130,7 +131,7 @@
         return BuiltBatch(batch, [], to_be_split)
 
     def _prepare(self, edit: JobEdit, batch: EditBatch, held_zones: HeldZones) -> PreparedEdit | None:
-        """Apply an edit; None if there is nothing to write, or the team's quota has no room for its allocations.
+        """Apply an edit; return None if there is nothing to write, or if its allocations exceed the team's quota.
 
         A job's second edit in one batch is dropped. Raises `RecordTooLargeError`.
         """
@@ -152,7 +153,7 @@
             transaction,
             {**transaction.conditions, **edit.conditions},
             list(transaction.writes),
-            _added_by_zone(job, transaction.job),
+            _usage_change_by_zone(job, transaction.job),
             changes_team_usage=False,
         )
         if usage.zone_quotas:
@@ -166,15 +167,15 @@
     def _add_quota_change(
         self, prepared: PreparedEdit, usage: TeamUsage, batch: EditBatch, held_zones: HeldZones
     ) -> bool:
-        """Add what keeps the team's zone quotas; False if they have no room for the edit's allocations."""
+        """Add the writes and conditions of the team's zone quotas; False if the edit's allocations exceed them."""
         assert usage.zone_quotas is not None
         prepared.changes_team_usage = True
         quota_change = self._quota_rebalancer.change_for_allocation(
             prepared.team,
             usage.zone_quotas,
-            already_added=batch.added,
+            already_added=batch.usage_changes,
             already_written=batch.writes.get(QUOTA_PREFIX + prepared.team),
-            added=prepared.added,
+            added=prepared.usage_changes,
             held_zones=held_zones,
         )
         if quota_change is None:
@@ -184,8 +185,8 @@
         return True
 
 
-def _added_by_zone(before: Job, after: Job) -> dict[str, QuotaAmountLike]:
-    """Return what a change allocates less what it ends, in the zones in which that differs."""
+def _usage_change_by_zone(before: Job, after: Job) -> dict[str, QuotaAmountLike]:
+    """Return the resources that a change allocates minus those of tasks that it ends, for zones where not zero."""
     tasks: dict[str, int] = {}
     for job, sign in ((before, -1), (after, 1)):
         for zone, count in job.allocated_by_zone().items():
--- a/tidebend/controller/records/final_transactions.py
+++ b/tidebend/controller/records/final_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions on jobs that are over: the last one, and deletions of chunks ahead of it."""
+"""Transactions on ended jobs: the final one, and deletions of chunks before it."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from tidebend.protocol import Write
 from tidebend.quota import TeamUsage
 
-# the last transaction's writes besides the chunks: the job's record, its final record and its team's record
+# writes of the final transaction besides the chunks: the job's record, its final record and its team's record
 WRITES_BESIDES_CHUNKS = 3
 
 
 class FinalTransactionBuilder:
-    """Replaces the records of a job that is done or cancelled by its final record."""
+    """Builds transactions that replace the records of a done or cancelled job by its final record."""
 
     def __init__(self, job_cache: JobCache, schema_version: SchemaVersion, record_limits: RecordLimits) -> None:
         """Write final records in the format that `schema_version` allows."""
@@ -29,10 +29,10 @@
         self._record_limits = record_limits
 
     def build(self, job: Job, new: Job, usage: TeamUsage) -> JobTransaction | None:
-        """Return the next transaction of a job that is over; None while some of its chunks aren't in the cache.
+        """Return the next transaction of an ended job; None while some of its chunks aren't in the cache.
 
-        A cancelled job stays cancelled, whatever else is true of it. If the job has more chunks than one transaction
-        deletes, the first ones are deleted ahead, and the job remains.
+        A cancelled job stays cancelled, even if all its tasks are done. If the job has more chunks than one transaction
+        can delete, the transaction deletes the first of them and keeps the job.
         """
         versions = chunk_versions(self._job_cache, job)
         if job.chunks and job.chunks.missing_records:
@@ -51,18 +51,18 @@
         )
 
     def _delete_chunks(self, job: Job, new: Job, versions: dict[int, int], usage: TeamUsage) -> JobTransaction:
-        """Delete the chunks with these numbers ahead of the job."""
+        """Return the transaction that deletes the chunks with these numbers and keeps the job."""
         keys = [chunk_key(job.id, number) for number in versions]
         conditions = {job.key: job.version, **dict(zip(keys, versions.values(), strict=True))}
         writes: list[Write] = list(map(delete, keys))
         if job.chunks:
-            # allocations that end with this change count as ended: the team's record would count them for ever else
-            rows = tuple(
+            # count allocations that end with this change as ended, or the team would be charged for them forever
+            records = tuple(
                 (number, new.chunk_of(number, job) if number in versions else chunk)
-                for number, chunk in job.chunks.rows
+                for number, chunk in job.chunks.records
             )
-            open_numbers = [number for number in versions if job.chunks.opened >> number & 1]
-            job = replace(job, cancelled=new.cancelled, chunks=replace(job.chunks, rows=rows))
+            open_numbers = [number for number in versions if job.chunks.open_chunks >> number & 1]
+            job = replace(job, cancelled=new.cancelled, chunks=replace(job.chunks, records=records))
             job = job.with_chunks_closed(open_numbers)
             writes.append(put(job.key, job.pack()))
         return JobTransaction(job, conditions, writes, usage)
--- a/tidebend/controller/records/job_edit.py
+++ b/tidebend/controller/records/job_edit.py
@@ -1,4 +1,4 @@
-"""Requests for a change to a job's record."""
+"""Requests for changes to a job."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclass
 class JobEdit:
-    """A change to one job, as a function that may be applied again to a newer version of the job.
+    """A change to one job, as a function that can be applied again to a newer version of the job.
 
-    `apply` gets the job and its team's usage, and returns the changed job, or None if there is nothing to write.
+    `apply` takes the job and its team's usage, and returns the changed job, or None if there is nothing to write.
     """
 
     job_id: str
     apply: ApplyEdit
-    conditions: dict[str, int] = field(default_factory=dict)  # key -> version, besides those of the job's own records
+    conditions: dict[str, int] = field(default_factory=dict)  # key -> required version, besides the job's own records
--- a/tidebend/controller/records/job_transaction.py
+++ b/tidebend/controller/records/job_transaction.py
@@ -1,4 +1,4 @@
-"""The contents of one conditional transaction on a job's records."""
+"""Conditional transactions on the records of one job, and the keys and writes that they consist of."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 @dataclass
 class JobTransaction:
-    """The records that change one job, and the conditions under which they may be written."""
+    """The writes that change one job, and the conditions under which they may be executed."""
 
-    job: Job  # as it is once the transaction has been executed
-    conditions: dict[str, int]  # key -> the version that it must have
+    job: Job  # after the transaction
+    conditions: dict[str, int]  # key -> required version
     writes: list[Write]
-    usage: TeamUsage  # the team's, as it is once the transaction has been executed
-    size_bytes: int = 0  # of the job's records, packed
+    usage: TeamUsage  # the team's, after the transaction
+    size_bytes: int = 0  # of the written job records, packed
 
 
 class RecordTooLargeError(Exception):
-    """A job's record can't hold a change; it has to be split into chunks first, if that is possible."""
+    """A change doesn't fit into a job's record, which must be split into chunks first if that is possible."""
 
     def __init__(self, job: Job) -> None:
         """`job` is the job before the change."""
@@ -48,12 +48,12 @@
 
 
 def chunk_versions(job_cache: JobCache, job: Job) -> dict[int, int]:
-    """Return the versions of a job's chunk records, and of abandoned ones that its head doesn't refer to.
+    """Return the versions of a job's chunk records by number, including those that its head doesn't refer to.
 
-    The version of an open chunk is the one from which this very job was read, not a later one that the watch has
-    brought since: a write conditional on the later one would undo a change that the job doesn't contain. (That a chunk
-    still isn't open is ensured by the condition on the head's version.)
+    The version of an open chunk is the one that `job` was derived from, not a later one that the watch has received
+    since: a write conditional on the later one would undo a change that `job` doesn't contain. For a chunk that isn't
+    open, the condition on the head's version ensures that it still isn't.
     """
     versions = job_cache.chunk_versions(job.id)
-    versions.update((number, chunk.version) for number, chunk in (job.chunks.rows if job.chunks else ()))
+    versions.update((number, chunk.version) for number, chunk in (job.chunks.records if job.chunks else ()))
     return versions
--- a/tidebend/controller/records/job_writer.py
+++ b/tidebend/controller/records/job_writer.py
@@ -1,4 +1,4 @@
-"""Writes job records by compare-and-swap, several jobs in one transaction, together with their teams' records."""
+"""Writing of job records by compare-and-swap, several jobs per transaction, together with their teams' records."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 log = logging.getLogger("records")
 
-# transactions that may fail in one call, for conflicts or their size
-DEFAULT_TRIES = 4
-# the smallest bound on a transaction's writes after conflicts
+# transactions that may fail in one call because of conflicts or their size
+DEFAULT_MAX_FAILURES = 4
+# lower bound of the limit on a transaction's writes, which is halved after each conflict
 MIN_WRITES_AFTER_CONFLICT = 3
 
 
@@ -39,14 +39,14 @@
     """The state of one call of `write_edits`."""
 
     remaining: list[JobEdit]
-    tries_left: int
+    failures_left: int
     max_writes: int
     to_be_split: list[JobEdit] = field(default_factory=list)
     changed: dict[str, Job] = field(default_factory=dict)
 
 
 def _log_final_states(batch: EditBatch, revision: int) -> None:
-    """Log which jobs have ended by a transaction, and from which version of their records that was concluded."""
+    """Log the jobs that a transaction has ended, with the version of the record on which that was based."""
     for job_id, job in batch.jobs.items():
         if FINAL + job_id in batch.writes:
             state = CANCELLED if job.cancelled else DONE
@@ -58,12 +58,12 @@
 
 
 class JobWriter:
-    """Applies edits to jobs and writes the results if nothing that they were made from has changed."""
+    """Applies edits to jobs and writes the results unless the records that they are based on have changed."""
 
     def __init__(
         self, cache: WatchCache, job_cache: JobCache, quota_rebalancer: QuotaRebalancer, record_limits: RecordLimits
     ) -> None:
-        """Write through `cache`, from the jobs in `job_cache`."""
+        """Write through `cache`, based on the jobs in `job_cache`."""
         self.cache = cache
         self.job_cache = job_cache
         self.quota_rebalancer = quota_rebalancer
@@ -74,91 +74,93 @@
 
     @property
     def writes_per_s(self) -> float:
-        """Our share of the state service's writes per second."""
+        """This controller's share of the key-value store's writes per second."""
         return self.cache.client.writes_per_s
 
     def write_edit(
-        self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], patience: float = 1.0
+        self, job_id: str, apply: ApplyEdit, conditions: dict[str, int], retry_for_s: float = 1.0
     ) -> Job | None:
-        """Write one job's edit; None if there was nothing to write, or a condition failed.
+        """Write an edit of one job; return None if it wasn't written.
 
-        For `apply` and `conditions` see `JobEdit`, for the rest `write_edits`.
+        For `apply` and `conditions` see `JobEdit`, for `retry_for_s` and the reasons not to write see `write_edits`.
         """
-        return self.write_edits([JobEdit(job_id, apply, conditions)], patience).get(job_id)
+        return self.write_edits([JobEdit(job_id, apply, conditions)], retry_for_s).get(job_id)
 
-    def write_edits(self, edits: list[JobEdit], patience: float = 1.0, tries: int = DEFAULT_TRIES) -> dict[str, Job]:
+    def write_edits(
+        self, edits: list[JobEdit], retry_for_s: float = 1.0, max_failures: int = DEFAULT_MAX_FAILURES
+    ) -> dict[str, Job]:
         """Write edits, and return the changed jobs by id.
 
-        An edit isn't written if there is nothing to write, if one of its own conditions failed, if the team's quota has
-        no room for its allocations, or if `tries` transactions failed. A team's record changes by just what its jobs'
-        allocations add, in the same transaction. `patience` is the time in seconds for which each write is repeated.
+        An edit isn't written if there is nothing to write, if one of its own conditions fails, if its allocations
+        exceed the team's quota, or if `max_failures` transactions have failed. A team's record is changed in the same
+        transaction by exactly what its jobs' allocations add. Each write is retried for `retry_for_s`.
 
         Raises `NotExecutedError` or `OutcomeUnknownError`; edits before the failed transaction may have been written.
-        After `OutcomeUnknownError` the cache has been brought up to a later read, or that has failed too.
+        After `OutcomeUnknownError` the cache reflects a later read, unless that has failed too.
         """
-        self.quota_rebalancer.settle_uncertain_writes(patience)
-        progress = _Progress(list(edits), tries, self.record_limits.max_writes)
-        while progress.remaining and progress.tries_left:
+        self.quota_rebalancer.settle_uncertain_writes(retry_for_s)
+        progress = _Progress(list(edits), max_failures, self.record_limits.max_writes)
+        while progress.remaining and progress.failures_left:
             built = self._batch_builder.build(progress.remaining, progress.max_writes)
             progress.remaining = built.remaining
             progress.to_be_split += built.to_be_split
             if built.batch.writes:
-                self._write_batch(built.batch, progress, patience)
-        self._write_split_jobs(progress, patience)
+                self._write_batch(built.batch, progress, retry_for_s)
+        self._write_split_jobs(progress, retry_for_s)
         return progress.changed
 
-    def _write_batch(self, batch: EditBatch, progress: _Progress, patience: float) -> None:
+    def _write_batch(self, batch: EditBatch, progress: _Progress, retry_for_s: float) -> None:
         try:
-            revision = self.cache.write(batch.conditions, list(batch.writes.values()), retry_for_s=patience)
+            revision = self.cache.write(batch.conditions, list(batch.writes.values()), retry_for_s=retry_for_s)
         except ConflictError as conflict:
             self._retry_after_conflict(batch, progress, conflict)
         except TransactionTooLargeError:
             self._retry_one_by_one(batch, progress)
         except OutcomeUnknownError:
-            # The write may have been executed, or may be later. A read shows what has been executed, and the next call
-            # rules out what hasn't, by `settle_uncertain_writes`.
-            self.quota_rebalancer.mark_uncertain({team for team, _ in batch.added})
+            # The write may have been executed, or may still be. A read shows whether it has been; if not, the next
+            # call rules it out, by `settle_uncertain_writes`.
+            self.quota_rebalancer.mark_uncertain({team for team, _ in batch.usage_changes})
             self.cache.barrier(self.cache.client.timeout, "claim")
             raise
         except LeaseNotFoundError as error:
-            raise NotExecutedError("no such lease") from error
+            raise NotExecutedError("a lease in the transaction does not exist") from error
         else:
             progress.changed.update(batch.jobs)
             _log_final_states(batch, revision)
 
     def _retry_after_conflict(self, batch: EditBatch, progress: _Progress, conflict: ConflictError) -> None:
-        """Apply the edits again after a read, in smaller transactions with fewer conditions that may fail.
+        """Apply the edits again after a read, in smaller transactions, which have fewer conditions that can fail.
 
-        Edits whose own conditions failed are given up: only the caller can make them anew.
+        Edits whose own conditions failed are dropped: only the caller can create them again.
         """
-        log.debug("conflict over %s", conflict)
-        progress.tries_left -= 1
+        log.debug("transaction failed because of a conflict: %s", conflict)
+        progress.failures_left -= 1
         failed_keys = set(conflict.keys)
         retried = [edit for edit in batch.edits if not failed_keys & set(edit.conditions)]
         progress.remaining = retried + progress.remaining
         progress.max_writes = max(MIN_WRITES_AFTER_CONFLICT, progress.max_writes // 2)
         if progress.remaining and not self.cache.barrier(self.cache.client.timeout, "claim"):
-            raise NotExecutedError("no read after a conflict") from conflict
+            raise NotExecutedError("the read after a conflict failed") from conflict
 
     @staticmethod
     def _retry_one_by_one(batch: EditBatch, progress: _Progress) -> None:
-        """Write each edit alone after the service refused a transaction for its size.
+        """Write each edit in its own transaction after the key-value store rejected a transaction for its size.
 
-        The service takes less than its announced limits then. An edit that is too large by itself isn't written now.
+        The store then accepts less than its announced limits. An edit that is too large on its own isn't written now.
         """
-        progress.tries_left -= 1
+        progress.failures_left -= 1
         if len(batch.edits) > 1:
             progress.remaining = batch.edits + progress.remaining
             progress.max_writes = 1
 
-    def _write_split_jobs(self, progress: _Progress, patience: float) -> None:
-        """Split the records of jobs that have become too large, then write these jobs' edits."""
+    def _write_split_jobs(self, progress: _Progress, retry_for_s: float) -> None:
+        """Split the records that have become too large, then write the edits of their jobs."""
         for edit in progress.to_be_split:
             try:
-                is_split = bool(progress.tries_left) and self._record_splitter.split(edit.job_id, patience)
+                is_split = bool(progress.failures_left) and self._record_splitter.split(edit.job_id, retry_for_s)
             except TransactionTooLargeError:
-                # a description taken when records were larger; the other jobs' edits must not fail with it
-                log.error("job %s: not even its description fits a record now", edit.job_id)
+                # accepted while the limit was larger; the edits of other jobs must not fail because of it
+                log.error("job %s: its description exceeds the present size limit of a record", edit.job_id)
                 continue
             if is_split:
-                progress.changed.update(self.write_edits([edit], patience, progress.tries_left))
+                progress.changed.update(self.write_edits([edit], retry_for_s, progress.failures_left))
--- a/tidebend/controller/records/record_limits.py
+++ b/tidebend/controller/records/record_limits.py
@@ -1,4 +1,4 @@
-"""Limits on the size of records and transactions, as the state service and our share of its writes set them."""
+"""Limits on the size of records and transactions, from those of the key-value store."""
 
 from __future__ import annotations
 
@@ -11,55 +11,58 @@
 from tidebend.coordination.schema_version import SchemaVersion
 from tidebend.settings import StoreLimits
 
-# A transaction's records, packed, stay this far below the protocol's 64 KiB: keys and conditions come on top.
+# The maximum size of a transaction's packed records. The rest of the protocol's 64 KiB is for keys and conditions.
 MAX_TRANSACTION_BYTES = 48 * 1024
-# Allocations take at most this share of a record. The indexes of done tasks may need the rest while allocations end.
+# Share of a record that allocations may take. The rest is for the indexes of done tasks while allocations end.
 ALLOCATIONS_SHARE = 0.75
-# the largest share of a record that a job's description may take
+# share of a record that a job's description may take
 DESCRIPTION_SHARE = 0.5
-# The end of a job takes up to this many writes: its record, its last chunk's, its final record, its team's record.
+# writes for the end of a job: its record, its last chunk's record, its final record and its team's record
 FINAL_WRITES = 4
-# a transaction takes at most this share of the writes that we may make in a second
+# share of the writes that this controller may make per second that one transaction may take
 BUDGET_SHARE = 0.5
-# conditions of a transaction per write that the service allows
+# conditions that a transaction may have, per write that the key-value store allows
 CONDITIONS_PER_WRITE = 4
 # writes of a gang's start besides its chunks: the head and the team's record
 GANG_START_WRITES = 2
-# conditions of a service's change besides its chunks: the head, the team's record, and shards
+# conditions of a service's change besides its chunks: the head, the team's record and shards
 SERVICE_CONDITIONS = 4
 
 
 def packed_bytes(value: Any) -> int:
-    """Return the length in bytes of a record as it is sent."""
+    """Return the size in bytes of a record as it is sent."""
     return len(json.dumps(value, separators=(",", ":")))
 
 
 class RecordLimits:
-    """How much a record and a transaction hold, and which jobs fit them."""
+    """The maximum sizes of records and transactions, and which jobs fit into them."""
 
     def __init__(self, limits: StoreLimits, schema_version: SchemaVersion, writes_per_s: float) -> None:
-        """Begin with `limits`; for `writes_per_s` see `apply`."""
+        """Start with these limits; for `writes_per_s` see `apply`."""
         self.schema_version = schema_version
         self.apply(limits, writes_per_s)
 
     def apply(self, limits: StoreLimits, writes_per_s: float) -> None:
-        """Keep to these limits from now on; `writes_per_s` is our share of the service's writes per second."""
+        """Replace the limits; `writes_per_s` is this controller's share of the key-value store's writes per second."""
         self.max_value_bytes = limits.value_bytes
         budget = int(BUDGET_SHARE * writes_per_s)
         self.max_writes = max(min(FINAL_WRITES, limits.txn_ops), min(limits.txn_ops, budget))
         self.max_conditions = CONDITIONS_PER_WRITE * limits.txn_ops
 
     def can_be_split(self, job: Job) -> bool:
-        """Whether a job's record may become a head with chunks.
+        """Whether a job's record may be split into a head with chunks.
 
-        A gang starts as a whole, so its record is split only if it has too many tasks for one. Records of the schema
-        version before pipelines can't be split.
+        All tasks of a gang start together, so its record is split only if it has too many tasks for a single record.
+        Records of schema version 1 can't be split.
         """
         min_tasks = chunk_size(self.max_value_bytes) if job.spec.kind == "gang" else 1
         return self.schema_version.supports_pipelines and job.chunks is None and job.spec.tasks > min_tasks
 
     def fits(self, job: Job, before: Job | None = None) -> bool:
-        """Whether records with these allocations leave room for completions; `before`: what the job was made from."""
+        """Whether the job's records leave room for completions.
+
+        `before` is the version that the job was derived from; given that, only changed chunks are checked.
+        """
         max_bytes = ALLOCATIONS_SHARE * self.max_value_bytes
         if job.chunks and before is not None:
             chunk_bytes = [
@@ -70,21 +73,21 @@
         return self.can_be_split(job) or packed_bytes(job.pack()) <= max_bytes
 
     def in_stored_form(self, job: Job) -> Job:
-        """Return a new job in the form in which it is kept: with chunks if it has too many tasks for one record."""
+        """Return a new job in its stored form: with chunks if it has too many tasks for a single record."""
         tasks_per_chunk = chunk_size(self.max_value_bytes)
         if self.schema_version.supports_pipelines and job.spec.tasks > tasks_per_chunk:
             return replace(job, chunks=ChunkIndex(tasks_per_chunk))
         return job
 
     def reason_never_fits(self, job: Job) -> str | None:
-        """Return why a job can't be kept or started with records of this size; None if it can."""
+        """Return why a job can't be stored or started within the limits; None if it can."""
         if packed_bytes(job.pack()) > DESCRIPTION_SHARE * self.max_value_bytes:
             return "its description is too long for a record"
         if job.chunks:
             chunks = -(-job.spec.tasks // job.chunks.size)
-            # the start of a gang writes all its chunks; a change of a service has conditions on all its chunks
+            # the start of a gang writes all its chunks; a change to a service has conditions on all its chunks
             if job.spec.kind == "gang" and chunks > self.max_writes - GANG_START_WRITES:
-                return "more tasks than can be started at once"
+                return "it has more tasks than a gang can start at once"
             if job.spec.kind == "service" and chunks > self.max_conditions - SERVICE_CONDITIONS:
-                return "more replicas than can be kept"
+                return "it has more replicas than a service can have"
         return None
--- a/tidebend/controller/records/record_splitter.py
+++ b/tidebend/controller/records/record_splitter.py
@@ -1,4 +1,4 @@
-"""Splits a job's record that has become too large into a head record with chunks."""
+"""Splitting of a job's record that has become too large into a head record with chunks."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclass
 class _SplitJob:
-    """A job's records as they are after the split."""
+    """The records of a job after the split."""
 
     head: Job
     index: ChunkIndex
     open_chunks: dict[int, Chunk]
-    finished_chunks: int  # bitmap of chunks that need no record
+    finished_chunks: int  # bitmap of chunks that no longer need a record
 
     @property
     def largest_chunk_bytes(self) -> int:
@@ -38,7 +38,7 @@
 
 
 class RecordSplitter:
-    """Moves jobs to head records with chunks, one job at a time."""
+    """Splits the records of jobs, one job at a time."""
 
     def __init__(self, cache: WatchCache, job_cache: JobCache, record_limits: RecordLimits) -> None:
         """Write through `cache`, with chunks as large as `record_limits` allow."""
@@ -46,14 +46,14 @@
         self._job_cache = job_cache
         self._record_limits = record_limits
 
-    def split(self, job_id: str, patience: float) -> bool:
+    def split(self, job_id: str, retry_for_s: float) -> bool:
         """Replace a job's record by a head with chunks; False if the job is gone or was changed meanwhile.
 
-        The chunks are written first, while nothing refers to them, then the head. Each step is conditional on the
-        version of the record that is split, and each chunk contains that version: the steps may be interrupted
-        anywhere, and made by several controllers. Records of the schema version before pipelines are split once a
-        change doesn't fit any more, not before. Raises the errors of `WatchCache.write` but for conflicts; `patience`
-        is the time in seconds for which each write is repeated.
+        The chunks are written first, while no head refers to them, then the head. Each step is conditional on the
+        version of the record that is split, and each chunk contains that version. The split may therefore be
+        interrupted at any step, and several controllers may attempt it. Records written under schema version 1 are
+        split only once a change no longer fits. Each write is retried for `retry_for_s`. Raises the errors of
+        `WatchCache.write` except conflicts.
         """
         with self._job_cache.lock:
             job = self._job_cache.get(job_id)
@@ -63,17 +63,17 @@
         split_job = self._split_to_fit(job)
         head = split_job.head
         try:
-            self._write_chunks(job, split_job, source_versions, patience)
-            self._write_head(job, head, patience)
+            self._write_chunks(job, split_job, source_versions, retry_for_s)
+            self._write_head(job, head, retry_for_s)
         except ConflictError:
             self._cache.barrier(self._cache.client.timeout, "claim")
             return False
         chunks = len(split_job.open_chunks) + split_job.finished_chunks.bit_count()
-        log.info("job %s is kept in %d chunks from now on", job_id, chunks)
+        log.info("job %s: record split into %d chunks", job_id, chunks)
         return True
 
     def _split_to_fit(self, job: Job) -> _SplitJob:
-        """Split a job into the largest chunks whose records leave room for what is to come."""
+        """Split a job into the largest chunks whose records leave room for later changes."""
         max_bytes = ALLOCATIONS_SHARE * self._record_limits.max_value_bytes
         size = min(chunk_size(self._record_limits.max_value_bytes), job.spec.tasks)
         split_job = self._split_into(job, size)
@@ -89,18 +89,20 @@
         whole = replace(job, chunks=index)
         open_chunks: dict[int, Chunk] = {}
         finished = 0
-        for number in index.numbers(whole.done | whole.allocated):
+        for number in index.chunks_with(whole.done | whole.allocated):
             chunk = replace(whole.chunk_of(number, job), source=job.version, last_attempt=job.last_attempt)
             if whole.chunk_is_finished(number, chunk):
                 finished |= 1 << number
             else:
                 open_chunks[number] = chunk
-        opened = sum(1 << number for number in open_chunks)
-        head_index = replace(index, opened=opened, closed=0 if job.cancelled else finished)
+        open_bitmap = sum(1 << number for number in open_chunks)
+        head_index = replace(index, open_chunks=open_bitmap, closed_chunks=0 if job.cancelled else finished)
         return _SplitJob(replace(whole, chunks=head_index), index, open_chunks, finished)
 
-    def _write_chunks(self, job: Job, split_job: _SplitJob, source_versions: dict[int, int], patience: float) -> None:
-        """Write the chunks that weren't written from this version of the job's record before."""
+    def _write_chunks(
+        self, job: Job, split_job: _SplitJob, source_versions: dict[int, int], retry_for_s: float
+    ) -> None:
+        """Write the chunks, except those that have been written from this version of the job's record already."""
         writes: list[Write] = [
             put(chunk_key(job.id, number), split_job.pack_chunk(number))
             for number in split_job.open_chunks
@@ -108,15 +110,15 @@
         ]
         max_writes = self._record_limits.max_writes
         while writes:
-            self._cache.write({job.key: job.version}, writes[:max_writes], retry_for_s=patience)
+            self._cache.write({job.key: job.version}, writes[:max_writes], retry_for_s=retry_for_s)
             writes = writes[max_writes:]
 
-    def _write_head(self, job: Job, head: Job, patience: float) -> None:
-        """Replace the record by the head, under the head's key."""
+    def _write_head(self, job: Job, head: Job, retry_for_s: float) -> None:
+        """Replace the job's record by the head, under the head's key."""
         conditions = {job.key: job.version, FORMAT: self._cache.get(FORMAT)[1]}
         writes: list[Write] = []
         if job.key != head.key:
             conditions[head.key] = 0
             writes.append(delete(job.key))
         writes.append(put(HEAD_PREFIX + job.id, head.pack()))
-        self._cache.write(conditions, writes, retry_for_s=patience)
+        self._cache.write(conditions, writes, retry_for_s=retry_for_s)
--- a/tidebend/controller/records/transaction_builder.py
+++ b/tidebend/controller/records/transaction_builder.py
@@ -1,4 +1,4 @@
-"""Builds the transaction that changes one job, in whichever form the job is kept."""
+"""Building of the transaction that changes one job, for each stored form of jobs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TransactionBuilder:
-    """Builds transactions without the team's record, which the caller adds."""
+    """Builds transactions on jobs, without the teams' records, which the caller adds."""
 
     def __init__(self, job_cache: JobCache, schema_version: SchemaVersion, record_limits: RecordLimits) -> None:
         """Create the builders for each form of a job's records."""
@@ -22,10 +22,10 @@
         self._chunked_transactions = ChunkedTransactionBuilder(job_cache, record_limits)
 
     def build(self, job: Job, new: Job, usage: TeamUsage) -> JobTransaction | None:
-        """Return the transaction that makes `new` of `job`; None if there is nothing to write.
+        """Return the transaction that changes `job` to `new`; None if there is nothing to write.
 
-        `usage` is the team's usage with `job`. Raises `RecordTooLargeError` if the job's single record can't hold
-        `new`, or would leave no room for the completions that are still to come.
+        `usage` is the team's usage before the change. Raises `RecordTooLargeError` if `new` doesn't fit into the job's
+        single record, or would leave no room there for later completions.
         """
         if not new.allocations and (new.cancelled or new.complete):
             return self._final_transactions.build(job, new, usage)
--- a/tidebend/controller/records/uncertain_starts.py
+++ b/tidebend/controller/records/uncertain_starts.py
@@ -1,4 +1,4 @@
-"""New fencing tokens that rule out the late execution of direct start commands."""
+"""Raising of fencing tokens to rule out the late execution of direct start commands."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from tidebend.coordination import Coordinator, ShardGrant, shard_of
 from tidebend.settings import Settings
 
-# Ended tasks that a repeated start command could run again are kept on their machines for at most this many of the
-# workers' leases; then a new token allows the workers to forget them.
+# How long workers keep ended tasks that a repeated start command could run again, as a multiple of the worker lease.
+# After that a new token allows the workers to forget them.
 MAX_KEPT_LEASES = 8.0
 
 
 class UncertainStartResolver:
-    """Raises the fencing token of our shards when direct starts would otherwise stay undecided.
+    """Raises the fencing token of this controller's shards to decide the outcome of direct starts.
 
-    A direct start without an answer may be executed late, and one that was answered may be executed a second time.
-    Once a worker has seen a higher token it executes neither. The second case only keeps ended tasks from being
-    cleared, so it may wait longer.
+    An unanswered direct start may be executed late, and an answered one may be executed a second time. Once a worker
+    has received a higher token, it does neither. The second case only prevents ended tasks from being forgotten, so it
+    may wait longer.
     """
 
     def __init__(self, settings: Settings, coordinator: Coordinator, machine_registry: MachineRegistry) -> None:
-        """Look for starts on the registry's machines; raise tokens by the coordinator."""
+        """Check the machines of the registry; raise tokens through the coordinator."""
         self._settings = settings
         self._coordinator = coordinator
         self._machine_registry = machine_registry
 
     def resolve(self) -> None:
-        """Raise the token of each shard that we hold and that has starts to be ruled out."""
+        """Raise the token of each held shard that has starts to be ruled out."""
         now = time.monotonic()
         for grant in self._coordinator.grants():
             grant_age_s = now - grant.acquired_at
@@ -48,7 +48,7 @@
         return [machine for machine in machines if shard_of(machine.zone) == grant.shard]
 
     def _has_uncertain_starts(self, grant: ShardGrant, now: float) -> bool:
-        """Whether a start under the present token has been without an answer for more than a report interval."""
+        """Whether a start with the present token has had no known outcome for more than a report interval."""
         return any(
             token >= grant.token and now - sent_at > self._settings.report_s
             for machine in self._machines_in(grant)
@@ -56,7 +56,7 @@
         )
 
     def _keeps_ended_tasks_too_long(self, grant: ShardGrant, now: float) -> bool:
-        """Whether a machine has kept ended tasks, because of starts that may be repeated, for too long."""
+        """Whether a machine has kept ended tasks for too long, because their starts may be repeated."""
         return any(
             machine.forgetting_deferred_since is not None and now - machine.forgetting_deferred_since > self._max_kept_s
             for machine in self._machines_in(grant)
--- a/tidebend/controller/records/unrecorded_completions.py
+++ b/tidebend/controller/records/unrecorded_completions.py
@@ -1,4 +1,4 @@
-"""Completions of one job's tasks that are confirmed by heartbeats but not yet written to the job's record."""
+"""Completions of a job's tasks that heartbeats have confirmed but that aren't recorded yet."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass
 class UnrecordedCompletions:
-    """What one job's next record has to contain, and the shard grants under which it may be written."""
+    """The completions to write to one job's record, and the shard grants under which they may be written."""
 
-    ended: dict[AllocationKey, int] = field(default_factory=dict)  # bitmap of tasks whose allocation has ended
+    ended: dict[AllocationKey, int] = field(default_factory=dict)  # allocation -> bitmap of its ended tasks
     done: int = 0  # bitmap of tasks that succeeded
     grants: set[ShardGrant] = field(default_factory=set)
 
     def amounts(self, spec: JobSpec) -> QuotaAmountLike:
-        """Return the CPUs and GPUs of the team's limit that become available once these completions are recorded."""
+        """Return the CPUs and GPUs of the team's limit that recording these completions will free."""
         tasks = sum(bitmap.bit_count() for bitmap in self.ended.values())
         return tasks * spec.cpus, tasks * spec.gpus
