--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -1,7 +1,8 @@
-"""A final state that a user was told is told for ever: cancellations that meet the end of last tasks, versions mixed.
+"""A final state reported to a user never changes, even if a job is cancelled while its last tasks end.
 
-The version in production records a job as done once all its tasks are, even if a cancellation was confirmed before. So
-users ask the controllers of this version alone to cancel, and those of production record the ends.
+The version in production records a job as done once all its tasks are done, even if its cancellation was confirmed
+before. In the tests with controllers of both versions, therefore, cancellations are mostly confirmed by a controller of
+this version while controllers of the production version record the completions.
 """
 
 import contextlib
@@ -65,7 +66,7 @@
     world.looks_until = world.now + 60.0
 
 
-TROUBLES = (
+FAULTS = (
     nothing,
     the_confirming_controller_ends,
     the_recording_controllers_end,
@@ -75,8 +76,8 @@
 )
 
 
-def mixed_world(seed, former):
-    """Controllers of a former version but for n0, and machines in the zones of the former ones."""
+def mixed_version_world(seed, former):
+    """A world in which n0 runs this version, n1 and n2 a former one, with machines only in the zones of n1 and n2."""
     random.seed(seed)
     world = World(seed, ZONES, [TEAM], [BOX])
     world.versions.update(dict.fromkeys(("n1", "n2"), former))
@@ -87,13 +88,13 @@
     return world
 
 
-def play(world, begin_trouble, jobs=24):
-    """Jobs of each kind, all of which are cancelled through `world.cancelled_through` as their last task ends."""
+def play(world, inject_fault, jobs=24):
+    """Run jobs of each kind, each cancelled through `world.cancelled_through` as its last task ends."""
     with world.clock():
         for _ in range(80):
             world.step()
         world.cancelled_at_end.append((world.now + 60.0, 1.0))
-        begin_trouble(world)
+        inject_fault(world)
         for number in range(jobs):
             for kind, job in JOBS.items():
                 world.submit(f"req-{kind}-{number}", **{**JOB, "harbor": ZONES[1 + number % 2], **job})
@@ -103,11 +104,11 @@
             world.step()
 
 
-def told_cancelled(world):
+def jobs_confirmed_cancelled(world):
     return {row[3] for row in world.log if row[1] == "told" and row[5] == "withdrawn"}
 
 
-def complete(world):
+def jobs_with_all_tasks_done(world):
     return {name for name, job in world.jobs.items() if world.done_tasks.get(name) == job["pieces"]}
 
 
@@ -120,30 +121,31 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("trouble", TROUBLES, ids=lambda trouble: trouble.__name__)
-def test_what_this_version_confirms_as_cancelled_is_never_made_done_by_the_version_in_production(former, trouble, seed):
-    world = mixed_world(seed, former)
+@pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
+def test_what_this_version_confirms_as_cancelled_is_never_made_done_by_the_version_in_production(former, fault, seed):
+    world = mixed_version_world(seed, former)
     world.cancelled_through = "n0"
-    play(world, trouble)
+    play(world, fault)
     assert {world.versions[node] is NEW for node in ("n1", "n2")} == {False}
-    assert len(told_cancelled(world) & complete(world)) >= 10  # the case that is guarded against came about
+    # otherwise the case that this test guards against hasn't occurred
+    assert len(jobs_confirmed_cancelled(world) & jobs_with_all_tasks_done(world)) >= 10
     found = breaches(world.log, world.jobs, world.teams, world.cancel_s, world.completed)
     assert not found, found[:5]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_what_this_version_calls_cancelled_is_never_made_done_though_production_recorded_the_cancellation(former, seed):
-    world = mixed_world(seed, former)
+    world = mixed_version_world(seed, former)
     world.cancelled_through = "n1"
     world.looks_until = 1e9
     play(world, nothing)
-    assert told_cancelled(world) & complete(world)
+    assert jobs_confirmed_cancelled(world) & jobs_with_all_tasks_done(world)
     assert not contradicted(world.log, by_new_only=True)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_cancellation_that_production_confirmed_is_sealed_on_sight_while_the_holder_stands_still(former, seed):
-    world = mixed_world(seed, former)
+    world = mixed_version_world(seed, former)
     with world.clock():
         for _ in range(100):
             world.step()
@@ -155,13 +157,13 @@
         for name in world.jobs:
             world.log.append((world.now, "asked", "cancel", name, None))
             assert world.user("cancel", name, "n2") == (200, "withdrawn")
-        world.frozen["n1"] = world.now + 2.8  # less than its lease, and until the tasks are done
-        world.polls.clear()  # nobody asks before all is over
+        world.frozen["n1"] = world.now + 2.8  # less than its lease, but long enough for the tasks to end
+        world.polls.clear()  # no polls before the jobs have ended
         for _ in range(200):
             world.step()
         for name in world.jobs:
             assert [world.user("poll", name, node) for node in world.nodes] == [(200, "withdrawn")] * 3
-    assert complete(world) == world.jobs.keys()
+    assert jobs_with_all_tasks_done(world) == world.jobs.keys()
     found = breaches(world.log, world.jobs, world.teams, world.cancel_s, world.completed)
     assert not found, found[:5]
 
@@ -178,12 +180,12 @@
 
 
 def test_a_cancellation_that_production_recorded_is_sealed_after_the_rise_of_the_format_too():
-    """A transaction of production's that got no answer may be executed later still."""
+    """A transaction of the production version whose outcome is unknown may be executed even after the upgrade."""
     for world in begun():
         assert FORMAT in world.state.items
         job = Job("req-a", 0, parse_job({**JOB, "pieces": 2}), 0.0, cancelled=True)
         record = replace(job, allocations=(Allocation("vm-000000", 1, 1, 3, 0.0, "north"),)).pack()
-        del record["done"]  # as production writes it
+        del record["done"]  # as the production version writes it
         world.state.transact({"if": [], "writes": [{"put": JOB_PREFIX + "req-a", "v": record}]})
         written = len(world.state.changes)
         for _ in range(20):
@@ -192,32 +194,33 @@
         assert after["v"] == {**record, "done": "2"}
 
 
-MOST_TASKS = 200
-# the job, the longest record, and how often it is cancelled rather than that something ends, once it is nearly done
-FORMS = {
+CHUNKED_JOB_TASKS = 200
+# form -> (job, maximum size of a record in bytes, probability of a cancellation at each step near the job's end)
+RECORD_FORMS = {
     "one record": ({"pieces": 5, "vcpus": 0.1, "memoryGb": 0.0}, 8192, 0.1),
     "gang": ({"shape": "group", "pieces": 5, "vcpus": 0.1, "memoryGb": 0.0}, 8192, 0.2),
-    "chunks": ({"pieces": MOST_TASKS, "vcpus": 0.01, "memoryGb": 0.0}, 500, 0.01),
+    "chunks": ({"pieces": CHUNKED_JOB_TASKS, "vcpus": 0.01, "memoryGb": 0.0}, 500, 0.01),
 }
 
 
-def ends_and_cancellations(world, pair, chance, cancelled_share):
-    """Ends of tasks as the holder records them and a cancellation, by controllers that read when they please."""
-    allocations = pair[0].job_cache.get("req-a").allocations
-    is_gang = pair[0].job_cache.get("req-a").spec.kind == "gang"
+def record_ends_and_cancellations(world, controllers, rng, cancelled_share):
+    """Record completions and cancel the job at random, through controllers that read at random times."""
+    allocations = controllers[0].job_cache.get("req-a").allocations
+    is_gang = controllers[0].job_cache.get("req-a").spec.kind == "gang"
     for _ in range(150):
-        controller = chance.choice(pair)
-        if chance.random() < 0.4:
+        controller = rng.choice(controllers)
+        if rng.random() < 0.4:
             controller.cache.catch_up(0.0, "claim")
-        allocation = chance.choice(allocations)
-        tasks = allocation.tasks & chance.getrandbits(allocation.tasks.bit_length())
-        done = (1 << MOST_TASKS) - 1 if is_gang and tasks else tasks  # a gang's tasks complete together
+        allocation = rng.choice(allocations)
+        tasks = allocation.tasks & rng.getrandbits(allocation.tasks.bit_length())
+        # a gang's tasks complete together
+        done = (1 << CHUNKED_JOB_TASKS) - 1 if is_gang and tasks else tasks
         ended = {(allocation.machine, allocation.session, allocation.attempt): tasks}
         with contextlib.suppress(NotExecutedError, OutcomeUnknownError):
             job = controller.job_cache.get("req-a")
             left = (job.all_tasks & ~job.done).bit_count() if job else 0
-            if (is_gang or left <= max(2, MOST_TASKS // 8)) and chance.random() < cancelled_share:
-                world.user("cancel", "req-a", chance.choice(world.nodes))
+            if (is_gang or left <= max(2, CHUNKED_JOB_TASKS // 8)) and rng.random() < cancelled_share:
+                world.user("cancel", "req-a", rng.choice(world.nodes))
             else:
                 controller.job_writer.write_edit(
                     "req-a",
@@ -231,64 +234,66 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-@pytest.mark.parametrize("form", FORMS)
+@pytest.mark.parametrize("form", RECORD_FORMS)
 def test_ends_and_cancellations_in_any_order_give_one_final_state(form, seed):
-    fields, max_value_bytes, cancelled_share = FORMS[form]
-    chance = random.Random(seed)
+    fields, max_value_bytes, cancelled_share = RECORD_FORMS[form]
+    rng = random.Random(seed)
     for world in begun():
-        pair = [world.controllers[node] for node in world.nodes]
-        for controller in pair:
+        controllers = [world.controllers[node] for node in world.nodes]
+        for controller in controllers:
             controller.record_limits.max_value_bytes, controller.record_limits.max_writes = max_value_bytes, 4
         world.submit("req-a", **{**JOB, **fields, "run_s": 1e9})
         for _ in range(100):
             world.step()
-        assert pair[0].job_cache.get("req-a").allocated == pair[0].job_cache.get("req-a").all_tasks
-        assert bool(pair[0].job_cache.get("req-a").chunks) == (form == "chunks")
+        assert controllers[0].job_cache.get("req-a").allocated == controllers[0].job_cache.get("req-a").all_tasks
+        assert bool(controllers[0].job_cache.get("req-a").chunks) == (form == "chunks")
         world.lost_answers.append((world.now + 1e9, 0.1))
         world.late_writes.append((world.now + 1e9, 0.1))
-        ends_and_cancellations(world, pair, chance, cancelled_share)
+        record_ends_and_cancellations(world, controllers, rng, cancelled_share)
         assert not contradicted(world.log)
 
 
-def logged(caplog, logger):
+def log_messages(caplog, logger):
     return [record.getMessage() for record in caplog.records if record.name == logger]
 
 
 def test_the_log_tells_which_version_confirmed_a_cancellation_and_by_what_it_became_final(former, caplog):
     caplog.set_level("INFO")
-    world = mixed_world(1, former)
+    world = mixed_version_world(1, former)
     world.cancelled_through = "n0"
     world.upgrade("n1", 1.0)
     play(world, nothing, jobs=4)
-    versions = logged(caplog, "schema_version")
+    versions = log_messages(caplog, "schema_version")
     assert [row.partition(" as of")[0] for row in versions].count("schema version 1 is in force") == 2
     assert versions.count("announced that this process reads up to schema version 2") == 2
-    for name in told_cancelled(world):
-        assert any(re.fullmatch(rf"job {name}: withdrawn, as of revision \d+", row) for row in logged(caplog, "api"))
-    ended = [row for row in logged(caplog, "records") if ": cancelled at revision " in row]
-    assert ended  # by this version; former controllers say nothing
+    for name in jobs_confirmed_cancelled(world):
+        assert any(
+            re.fullmatch(rf"job {name}: withdrawn, as of revision \d+", row) for row in log_messages(caplog, "api")
+        )
+    ended = [row for row in log_messages(caplog, "records") if ": cancelled at revision " in row]
+    assert ended  # from controllers of this version; former ones don't log this
     for row in ended:
         assert re.fullmatch(
             r"job \S+: cancelled at revision \d+, by its record of revision \d+; \d of \d tasks done", row
         )
-    assert not logged(caplog, "cluster_state")
+    assert not log_messages(caplog, "cluster_state")
 
 
 def test_the_log_tells_of_a_final_record_that_contradicts_a_cancellation(former, caplog):
-    world = mixed_world(1, former)
+    world = mixed_version_world(1, former)
     world.cancelled_through = "n1"
     with mock.patch.object(CancellationSealer, "seal_all"):
         play(world, nothing, jobs=4)
     in_the_log = {
-        row.split()[1].rstrip(":") for row in logged(caplog, "cluster_state") if "was cancelled before" in row
+        row.split()[1].rstrip(":") for row in log_messages(caplog, "cluster_state") if "was cancelled before" in row
     }
     assert in_the_log
     assert in_the_log == contradicted(world.log)
 
 
-# the version in production with the one line that makes the last record of a cancelled job say so
+# the version in production with a one-line fix: the final record of a cancelled job says cancelled
 PATCH_RELEASE = "bb963bde890b9611b378d06daff3b9921c066c80"
-MEETINGS = (
+FAULT_COMBINATIONS = (
     ("cancelled at the end", "close looks"),
     ("cancelled at the end", "lost answers", "crash"),
     ("cancelled at the end", "late writes", "crash of all"),
@@ -296,22 +301,23 @@
 )
 
 
-@pytest.mark.parametrize("meeting", MEETINGS, ids=" + ".join)
-def test_what_this_version_calls_final_stays_so_through_upgrades_and_troubles(former, meeting):
+@pytest.mark.parametrize("faults", FAULT_COMBINATIONS, ids=" + ".join)
+def test_what_this_version_calls_final_stays_so_through_upgrades_and_troubles(former, faults):
     taken_back = 0
     for seed in (1, 2, 3):
-        made = play_search(seed, meeting, former)
-        assert not made["contradicted_new"], made
-        taken_back += len(made["contradicted"])
-    assert taken_back  # what production alone confirms isn't protected, so the case came about
+        result = play_search(seed, faults, former)
+        assert not result["contradicted_new"], result
+        taken_back += len(result["contradicted"])
+    # cancellations that only the production version confirmed aren't protected: otherwise the case hasn't occurred
+    assert taken_back
 
 
-@pytest.mark.parametrize("meeting", MEETINGS, ids=" + ".join)
-def test_with_the_patch_release_no_final_state_changes_in_an_upgrade(meeting):
+@pytest.mark.parametrize("faults", FAULT_COMBINATIONS, ids=" + ".join)
+def test_with_the_patch_release_no_final_state_changes_in_an_upgrade(faults):
     patched = at(PATCH_RELEASE)
     if patched is None:
         pytest.skip("the patch release isn't in the history at hand")
     for seed in (1, 2, 3):
-        made = play_search(seed, meeting, patched)
-        assert not made["breaches"], made
-        assert not made["contradicted"], made
+        result = play_search(seed, faults, patched)
+        assert not result["breaches"], result
+        assert not result["contradicted"], result
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -1,9 +1,10 @@
-"""Records as commit b21e54f wrote them are read as that commit read them, and written back identically.
+"""Records written by commit b21e54f are read as that commit read them, and written back identically.
 
-`samples/stored_records.json` was made once with the code of that commit, from the scene that it holds: `changes` are
-the changes of the state service, `views` what that commit's cache of jobs showed after some of them, `records` and
-`chunks` further jobs and chunks that it packed, the latter with the number of their first task. While the scene begins
-the first format version is written, and from the middle on the second.
+Guards against upgrades that misread stored records or store them in another form. `samples/stored_records.json` was
+created once with the code of that commit, by running the scenario that it contains as `scene`: `changes` are the
+resulting changes in the key-value store, `views` the contents of that commit's job cache after some of them, `records`
+and `chunks` further jobs and chunks packed by that commit, the latter with the index of their first task. The first
+half of the scenario writes records of schema version 1, the second half records of version 2.
 """
 
 import json
@@ -30,9 +31,9 @@
 WRITTEN = [(key, value) for _, key, value in SAMPLES["changes"] if value is not None]
 
 
-def recorded(prefix):
+def sample_records(prefix):
     rows = [(key[len(prefix) :], value) for key, value in WRITTEN if key.startswith(prefix)]
-    assert rows, prefix  # the sample has some of each kind
+    assert rows, prefix  # the sample contains records of each kind
     return rows
 
 
@@ -52,7 +53,7 @@
     for key, value in records:
         job = Job.unpack(key.rpartition("/")[2], value, 7)
         if key.startswith(JOB_PREFIX) and "cancelled" in value:
-            # the only field that is written otherwise than it was: see the next test
+            # the only field that is now stored in another form: see the next test
             value = {**value, "done": f"{value['done']},{job.spec.tasks}"}
         assert as_stored(job.pack()) == value
         assert list(job.pack()) == list(value)
@@ -79,8 +80,10 @@
 
 def test_chunks_are_written_back_as_they_were():
     chunks = list(SAMPLES["chunks"])
-    sizes = {name: ChunkIndex.unpack(value["parts"]).size for name, value in recorded(HEAD_PREFIX) if "parts" in value}
-    for name, value in recorded(CHUNK_PREFIX):
+    sizes = {
+        name: ChunkIndex.unpack(value["parts"]).size for name, value in sample_records(HEAD_PREFIX) if "parts" in value
+    }
+    for name, value in sample_records(CHUNK_PREFIX):
         job, _, number = name.rpartition("/")
         chunks.append([int(number) * sizes[job], value])
     assert {name for _, value in chunks for name in value} == {"started", "ended", "done", "claims", "source"}
@@ -93,7 +96,7 @@
 
 
 def test_teams_and_quotas_are_written_back_as_they_were():
-    for name, value in recorded(TEAM_PREFIX):
+    for name, value in sample_records(TEAM_PREFIX):
         index = UsageIndex()
         index.on_change(TEAM_PREFIX + name, value, 7)
         usage = index.team(name)
@@ -101,7 +104,7 @@
         assert as_stored(usage.pack()) == value
         assert usage.charged == tuple(value)
         assert usage == TeamUsage(*value, 7, QuotaAmount(*value))
-    for _, value in recorded(QUOTA_PREFIX):
+    for _, value in sample_records(QUOTA_PREFIX):
         quotas = ZoneQuotas.unpack(value, 7)
         assert quotas.version == 7
         assert as_stored(quotas.pack()) == value
@@ -109,7 +112,7 @@
 
 
 def test_final_states_of_both_format_versions_are_written_back_as_they_were():
-    values = [value for _, value in recorded(FINAL)]
+    values = [value for _, value in sample_records(FINAL)]
     assert {type(value) for value in values} == {str, dict}
     for value in values:
         final = unpack_final(value)
@@ -117,13 +120,13 @@
         assert final == (FinalState(value, 0.0) if isinstance(value, str) else (value["state"], value["at"]))
 
 
-def view(cache, names):
-    """What a cache shows, as the sample holds it."""
+def cache_view(cache, ended_jobs):
+    """Return the contents of a job cache, in the form of the sample's `views`."""
     usages = {" ".join(zones): cache.team("team", zones) for zones in ((), ("north",), ("south", "west"))}
     return as_stored(
         {
-            "jobs": {job.id: view_of_job(job) for job in cache.live_jobs()},
-            "finals": {name: cache.final_state(name) for name in names},
+            "jobs": {job.id: job_view(job) for job in cache.live_jobs()},
+            "finals": {name: cache.final_state(name) for name in ended_jobs},
             "dependents": {name: sorted(rows) for name, rows in cache.dependents_by_job().items()},
             "unresolved": cache.missing_final_states(),
             "machines": {
@@ -137,7 +140,7 @@
     )
 
 
-def view_of_job(job):
+def job_view(job):
     return {
         "key": job.key,
         "pending": f"{job.pending:x}",
@@ -159,13 +162,13 @@
 def test_the_cache_shows_the_same_as_it_did_and_its_jobs_in_the_same_order():
     cache = JobCache(threading.RLock(), 100)
     expected = {row.pop("after"): row for row in as_stored(SAMPLES["views"])}
-    names = set()
+    ended_jobs = set()
     for number, (version, key, value) in enumerate(SAMPLES["changes"], 1):
         cache.on_change(key, value, version)
         if key.startswith(FINAL):
-            names.add(key[len(FINAL) :])
+            ended_jobs.add(key[len(FINAL) :])
         if number in expected:
-            shown = view(cache, sorted(names))
+            shown = cache_view(cache, sorted(ended_jobs))
             assert shown == expected[number], number
             assert list(shown["jobs"]) == list(expected[number]["jobs"])
     assert any(job["blocked"] for row in expected.values() for job in row["jobs"].values())
@@ -188,7 +191,7 @@
         return {(kind(key), json.dumps(shape(value), default=str)) for key, value in rows if key.startswith(prefix)}
 
     def without_contents(form):
-        """A job's allocations and a node's unreachable peers are lists that may have any length."""
+        """Return the form with any list of allocations or of unreachable peers alike: these may have any length."""
         name, text = form
         value = json.loads(text)
         for field in ("claims", "unheard"):
@@ -196,6 +199,6 @@
                 value[field] = "list"
         return name, json.dumps(value)
 
-    then, now = ({without_contents(form) for form in forms(rows)} for rows in (WRITTEN, written_today))
-    assert then
-    assert now == then
+    expected, actual = ({without_contents(form) for form in forms(rows)} for rows in (WRITTEN, written_today))
+    assert expected
+    assert actual == expected
