--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Typed frames and records of coordination, and the leader's choice of holders."""
+"""Encoding of peer frames and coordination records, and the leader's choice of shard holders."""
 
 import json
 from pathlib import Path
@@ -27,7 +27,7 @@
     frame = PeerFrame.unpack(SAMPLES["frame"])
     assert frame.machines[0] == PeerMachine("vm-000001", "box", "north", 0, 0, "10.1.0.1", 9000, 1)
     assert frame.holders["north.0"] == ShardHolder(13, "n0")
-    # what production's frames lack is empty, and is sent once the format allows it
+    # Fields that production's frames lack are read as empty; later schema versions send them.
     packed = frame.pack()
     assert (packed.pop("at_fault"), packed.pop("came")) == ([], {})
     assert cbor2.dumps(packed) == cbor2.dumps(SAMPLES["frame"])
@@ -94,29 +94,29 @@
     assert NodeRecord.unpack({"lease": 1, "zone": "north"}).unreachable_shards == ()
 
 
-def suitability(cannot_reach=False, is_exposed=False, is_outside_zone=False, shards_held=1):
-    return Suitability(cannot_reach, is_exposed, is_outside_zone, shards_held, False, "n0")
+def suitability(cannot_reach=False, lacks_failover=False, is_outside_zone=False, shards_held=1):
+    return Suitability(cannot_reach, lacks_failover, is_outside_zone, shards_held, False, "n0")
 
 
 @pytest.mark.parametrize(
-    ("current", "best", "is_best_settled", "must_wait", "expected"),
+    ("current", "best", "is_best_stable", "ignore_unreachable", "expected"),
     [
         (suitability(cannot_reach=True), suitability(), False, False, True),
         (suitability(cannot_reach=True), suitability(), False, True, False),
         (suitability(cannot_reach=True), suitability(cannot_reach=True), True, False, False),
-        # a settled controller gets what suits it better even while the present holder's mark is young
+        # A stable candidate in the shard's zone gets the shard even while the holder's unreachable mark is new.
         (suitability(cannot_reach=True, is_outside_zone=True), suitability(), True, True, True),
-        (suitability(is_exposed=True), suitability(is_outside_zone=True), True, False, True),
-        (suitability(is_exposed=True), suitability(), False, False, False),
-        (suitability(is_outside_zone=True), suitability(is_exposed=True), True, False, False),
+        (suitability(lacks_failover=True), suitability(is_outside_zone=True), True, False, True),
+        (suitability(lacks_failover=True), suitability(), False, False, False),
+        (suitability(is_outside_zone=True), suitability(lacks_failover=True), True, False, False),
         (suitability(is_outside_zone=True), suitability(shards_held=9), True, False, True),
         (suitability(shards_held=9), suitability(is_outside_zone=True), True, False, False),
         (suitability(shards_held=3), suitability(shards_held=1), True, False, True),
         (suitability(shards_held=2), suitability(shards_held=1), True, False, False),
     ],
 )
-def test_a_shard_moves_only_for_a_better_holder(current, best, is_best_settled, must_wait, expected):
-    assert is_improvement(current, best, is_best_settled, must_wait) is expected
+def test_a_shard_moves_only_for_a_better_holder(current, best, is_best_stable, ignore_unreachable, expected):
+    assert is_improvement(current, best, is_best_stable, ignore_unreachable) is expected
 
 
 def test_a_shard_goes_to_its_own_zone_unless_nothing_there_can_be_reached():
@@ -128,5 +128,5 @@
         for shard in ("north.0", "south.0")
     )
     assert (north, south) == ("n1", "n1")
-    assert cluster.suitability("north.0", "n1", held).is_successor_away  # n2 isn't live
-    assert not cluster.suitability("north.0", "n0", held).is_successor_away
+    assert cluster.suitability("north.0", "n1", held).is_successor_down  # n2 isn't live
+    assert not cluster.suitability("north.0", "n0", held).is_successor_down
--- a/tidebend/coordination/__init__.py
+++ b/tidebend/coordination/__init__.py
@@ -1,6 +1,6 @@
-"""Membership, leadership, shards and their fencing tokens, and the frames between controllers.
+"""Coordination between controllers: membership, leader election, shards with fencing tokens, and peer frames.
 
-`coordinator` says which module does what.
+The doc comment of `coordinator` lists the modules and what each does.
 """
 
 from tidebend.coordination.coordinator import Coordinator
--- a/tidebend/coordination/coordinator.py
+++ b/tidebend/coordination/coordinator.py
@@ -1,17 +1,17 @@
 """One controller's view of the cluster: its lease, the leader, the shards and the zones.
 
-The parts, each in a module of its own:
+The package's modules:
 
-- `session_lease`: our lease at the key-value store, and our node record, which is attached to it
-- `leader_election`: who leads, and the term
-- `shard_assignment`: as the leader, which controller is to hold which shard
-- `shard_holdings`: the shards that are ours, with their fencing tokens
+- `session_lease`: this controller's lease in the key-value store, and its node record, which is attached to the lease
+- `leader_election`: election of the leader, and its term
+- `shard_assignment`: the leader's choice of a holder for each shard
+- `shard_holdings`: the shards that this controller holds, with their fencing tokens
 - `zone_suspicion`: which zones are suspected, unreachable or isolated
-- `schema_version`: which format of records is in force
-- `records`: what of all this is stored, and under which keys
-- `peer_exchange`: the frames between controllers, which go past the store
+- `schema_version`: which schema version of the records is in force
+- `records`: the stored records and their keys
+- `peer_exchange`: frames that controllers send each other directly, not through the store
 
-`Coordinator` composes them, has the two threads that drive them, and is what the rest of a controller calls.
+`Coordinator` composes them, runs the two threads that drive them, and is the interface for the rest of the controller.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 
 log = logging.getLogger("coordination")
 
-# shards are looked after this often at least, as a share of a controller's lease
-MAINTENANCE_SHARE = 0.1
+# Longest interval between two runs of shard maintenance, as a fraction of the controller's lease.
+MAINTENANCE_INTERVAL_FRACTION = 0.1
 
 
 class Coordinator:
-    """Keeps our lease, leads if we are elected, and knows which shards are ours."""
+    """Renews this controller's lease, takes part in the leader election, and tracks the shards that it holds."""
 
     def __init__(
         self,
@@ -51,12 +51,12 @@
         schema_version: SchemaVersion,
         peer_reported_holding: Callable[[str, str], bool],
     ) -> None:
-        """`on_shard_acquired` is called with each new grant of ours.
+        """`on_shard_acquired` is called with each new grant of this controller.
 
-        `peer_reported_holding`: whether a peer (by name) said in its last frame that it holds a shard.
+        `peer_reported_holding` returns whether a peer (by name) listed a shard as held in its last frame.
         """
         self.cache = cache
-        self.wake = threading.Event()  # set to have the shards looked after at once
+        self.wake = threading.Event()  # set to run shard maintenance without waiting for the interval
         self.schema_version = schema_version
         self._read_timeout_s = client.timeout
         self._lease_s = settings.controller_lease_s
@@ -83,34 +83,34 @@
         )
 
     def start(self) -> None:
-        """Start the threads that renew the lease and look after the shards."""
+        """Start the threads that renew the lease and maintain the shards."""
         threading.Thread(target=self._lease_renewal.run, name="lease", daemon=True).start()
         threading.Thread(target=self._run_maintenance, name="shards", daemon=True).start()
 
     def _run_maintenance(self) -> None:
         while True:
-            self.wake.wait(self._lease_s * MAINTENANCE_SHARE)
+            self.wake.wait(self._lease_s * MAINTENANCE_INTERVAL_FRACTION)
             self.wake.clear()
             self.maintain_shards()
 
     def maintain_shards(self) -> None:
-        """Notice grants and losses, and do the leader's work if we lead; failures are logged."""
+        """Process acquired and lost shards, and assign shards if this controller leads. Failures are logged."""
         if not self.cache.loaded.is_set():
             return
         try:
             self._maintain()
         except ConflictError as conflict:
-            # our cache is behind: after a refusal of us alone the old watch may hang on for its full time
-            log.info("shards: conflict over %s", conflict)
+            # The cache is stale. If the store refused only this controller, an old watch may hang until its timeout.
+            log.info("shard maintenance: transaction conflict on %s", conflict)
             self.cache.barrier(self._read_timeout_s, RequestKind.CLAIM)
         except KeyValueError as error:
-            log.info("shards: %s", error)
+            log.info("shard maintenance failed: %s", error)
             time.sleep(random.uniform(0.02, 0.1) * self._lease_s)
 
     def _maintain(self) -> None:
         if self.cache.watched < self.session_lease.granted_at:
-            # Guards against a watch that died in the partition in which our lease ended, unnoticed until its time is
-            # over: a shard that is given back to us would have nobody who acts on it meanwhile.
+            # The watch may have died in the partition in which the previous lease ended, and this is noticed only at
+            # its timeout. Without this read, a shard that is granted to this controller again would be idle until then.
             self.cache.barrier(self._read_timeout_s, RequestKind.CLAIM)
         self.holdings.refresh()
         term = self._election.run_for_leader()
@@ -122,102 +122,105 @@
         if term is not None:
             self.schema_version.upgrade_if_all_support({LEADER: term})
 
-    # Our lease
+    # Lease
 
     @property
     def lease(self) -> int | None:
-        """Our lease at the store; it may have ended."""
+        """Number of this controller's lease in the store; the lease may have ended."""
         return self.session_lease.lease
 
     @property
     def lease_until(self) -> float:
-        """Steady time until which our lease holds for certain."""
+        """Monotonic time until which the lease is certainly valid."""
         return self.session_lease.valid_until
 
     @property
     def lease_valid(self) -> bool:
-        """Whether our lease holds for certain."""
+        """Whether the lease is certainly still valid."""
         return self.session_lease.is_valid
 
     def renew_lease(self) -> bool:
-        """Renew the lease once; False if that, or the announcement that goes with it, failed."""
+        """Renew the lease once; return False if the renewal or the update of the node record failed."""
         return self._lease_renewal.renew_once()
 
-    # The leader
+    # Leader
 
     @property
     def term(self) -> int | None:
-        """The revision of our election while we lead, else None."""
+        """The leader's term (the revision of its election) while this controller leads, else None."""
         return self._election.term
 
     # Shards
 
     def holder(self, shard: str) -> str | None:
-        """Who holds a shard, as far as we or our peers know."""
+        """Return the holder of a shard, by its record or by a peer's newer information."""
         return self.holdings.holder(shard)
 
     def holders(self) -> dict[str, ShardHolder]:
-        """Who holds which shard, by the records."""
+        """Return the holder of each shard according to the records."""
         return self.shard_records.holders()
 
     def learn_holders(self, holders: Mapping[str, ShardHolder]) -> None:
-        """Take over a peer's table of holders where its tokens are higher."""
+        """Merge a peer's table of holders; entries with higher tokens win."""
         self.holdings.learn_holders(holders)
 
     def grant(self, shard: str) -> ShardGrant | None:
-        """Our grant of a shard; None if we have none, or a peer knows a higher token."""
+        """Return this controller's grant of a shard; None without a grant, or if a peer knows a higher token."""
         return self.holdings.grant(shard)
 
     def grants(self) -> list[ShardGrant]:
-        """All grants that are ours to act on."""
+        """Return all grants of this controller for which no peer knows a higher token."""
         return self.holdings.grants()
 
     def held_zones(self) -> dict[str, tuple[str, int]]:
-        """The zones whose shards are ours, with the transaction conditions that they still are."""
+        """Return the zones whose shards this controller holds, each with the transaction condition of its grant."""
         return self.holdings.held_zones()
 
     def condition(self, grant: ShardGrant) -> tuple[str, int]:
-        """The transaction condition (key, version) that a grant is still the newest one."""
+        """Return the transaction condition (key, version) that a grant is still the newest one of its shard."""
         return self.holdings.condition(grant)
 
     def raise_fencing_token(self, grant: ShardGrant) -> None:
-        """Grant ourselves a shard anew, so that commands under its old token can't be executed any more."""
+        """Grant a held shard again under a new fencing token, so that commands with the old token are rejected."""
         self.holdings.raise_fencing_token(grant)
 
     def observe_higher_token(self, shard: str, token: int) -> None:
-        """A worker has seen a token; if it is higher than ours our grant is over."""
+        """Drop the grant of a shard if a worker has seen a higher token than the grant's."""
         self.holdings.observe_higher_token(shard, token)
 
     # Zones
 
     def mark_unreachable(self, shard: str, machines: int, seconds: float) -> None:
-        """Say for so many seconds that none of a shard's machines can be reached from here."""
+        """Mark a shard as unreachable from this controller for a number of seconds: no machine of it responds."""
         self.announcement.mark_unreachable(shard, machines, seconds)
 
     def is_marked_unreachable(self, shard: str) -> bool:
-        """Whether we say that none of a shard's machines can be reached from here."""
+        """Return whether this controller has marked a shard as unreachable."""
         return self.announcement.is_marked_unreachable(shard)
 
     def clear_unreachable(self, shard: str) -> None:
-        """Withdraw the mark: some of the shard's machines can be reached after all."""
+        """Remove a shard's unreachable mark: some of its machines respond."""
         self.announcement.clear_unreachable(shard)
 
     def is_unreachable_by_all(self, shard: str) -> bool:
-        """Whether every live controller has tried and reaches none of a shard's machines."""
+        """Return whether every live controller has marked a shard as unreachable."""
         return self._zones.is_unreachable_by_all(shard)
 
     def unreachable_zones(self) -> set[str]:
-        """The zones of which no controller reaches any machine."""
+        """Return the zones that every live controller has marked as unreachable."""
         return self._zones.unreachable_zones()
 
-    def is_suspected(self, shard: str, is_peer_quiet: Callable[[str], bool]) -> bool:
-        """Whether a shard's zone may be cut off; `is_peer_quiet`: whether a peer has sent no frame for a while."""
-        return self._zones.is_suspected(shard, is_peer_quiet)
+    def is_suspected(self, shard: str, is_peer_silent: Callable[[str], bool]) -> bool:
+        """Return whether a shard's zone may be partitioned.
+
+        `is_peer_silent` returns whether a peer has sent no frames recently.
+        """
+        return self._zones.is_suspected(shard, is_peer_silent)
 
     def isolated_holder(self, shard: str) -> IsolatedHolder | None:
-        """The controller that is isolated with a shard of its own zone, and since when."""
+        """Return the controller that is isolated with a shard of its own zone, and since when; None without one."""
         return self._zones.isolated_holder(shard)
 
     def isolated_holder_may_act(self, shard: str) -> bool:
-        """Whether that controller had said itself that it holds the shard."""
+        """Return whether the isolated controller had reported that it holds the shard."""
         return self._zones.isolated_holder_may_act(shard)
--- a/tidebend/coordination/leader_election.py
+++ b/tidebend/coordination/leader_election.py
@@ -1,4 +1,4 @@
-"""Election of the leader: the controller whose record is under one key of the key-value store."""
+"""Leader election: the leader is the controller whose record is stored under one key of the key-value store."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 log = logging.getLogger("coordination")
 
-# candidates wait for up to this share of a lease, so that of several one finds no other's record
-CANDIDATE_DELAY_SHARE = 0.05
+# Candidates wait for a random time of up to this fraction of a lease, so that one of several usually writes first and
+# the others see its record.
+MAX_CANDIDATE_DELAY_FRACTION = 0.05
 
 
 class LeaderElection:
-    """Runs for leader while there is none, and knows the term while we lead."""
+    """Takes part in elections while there is no leader, and provides the term while this controller leads."""
 
     def __init__(self, name: str, session_lease: SessionLease, cache: WatchCache, read_timeout_s: float) -> None:
-        """`read_timeout_s`: how long to wait for a read after an election that was lost."""
+        """`read_timeout_s`: timeout of the read after a lost election."""
         self._name = name
         self._session_lease = session_lease
         self._cache = cache
@@ -29,40 +30,43 @@
 
     @property
     def term(self) -> int | None:
-        """The revision of our election while we lead, else None."""
+        """The leader's term (the revision of its election) while this controller leads, else None."""
         value, version = self._cache.get(LEADER)
-        if value is None or not self._is_ours_now(LeaderRecord.unpack(value)):
+        if value is None or not self._has_current_lease(LeaderRecord.unpack(value)):
             return None
         return version if self._session_lease.is_valid else None
 
     def run_for_leader(self) -> int | None:
-        """Become leader if there is none; the term if we lead now. Raises as the client does."""
+        """Try to become leader if there is none; return the term if this controller leads now.
+
+        Raises the errors of `WatchCache.write`.
+        """
         value, version = self._cache.get(LEADER)
-        if value is None or self._is_from_former_lease(LeaderRecord.unpack(value)):
+        if value is None or self._has_former_lease(LeaderRecord.unpack(value)):
             if self._session_lease.lease is None or not self._session_lease.is_valid:
                 return None
             if value is None:
-                time.sleep(random.uniform(0, CANDIDATE_DELAY_SHARE) * self._session_lease.lease_s)
-            if not self._write_record(version):
+                time.sleep(random.uniform(0, MAX_CANDIDATE_DELAY_FRACTION) * self._session_lease.lease_s)
+            if not self._write_leader_record(version):
                 return None
         return self.term
 
-    def _write_record(self, version: int) -> bool:
-        """Put our record in the place of the one of that version; False if another controller was faster."""
+    def _write_leader_record(self, version: int) -> bool:
+        """Replace the leader record if it has that version; return False if another controller wrote first."""
         lease = self._session_lease.lease
         if lease is None:
-            return False  # it has ended while we waited
+            return False  # the lease ended during the wait
         writes: list[Write] = [(LEADER, LeaderRecord(self._name, lease).pack(), lease)]
         try:
             revision = self._cache.write({LEADER: version}, writes, RequestKind.LEASE)
         except ConflictError:
             self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM)
             return False
-        log.info("leader from revision %s on", revision)
+        log.info("elected leader with term %s", revision)
         return True
 
-    def _is_ours_now(self, record: LeaderRecord) -> bool:
+    def _has_current_lease(self, record: LeaderRecord) -> bool:
         return record.node == self._name and record.lease == self._session_lease.lease
 
-    def _is_from_former_lease(self, record: LeaderRecord) -> bool:
+    def _has_former_lease(self, record: LeaderRecord) -> bool:
         return record.node == self._name and record.lease != self._session_lease.lease
--- a/tidebend/coordination/peer_frames.py
+++ b/tidebend/coordination/peer_frames.py
@@ -1,8 +1,8 @@
-"""The frames that controllers send each other, past the key-value store: their typed form, and how it is packed.
+"""Frames that controllers send each other directly, not through the key-value store: typed form and encoding.
 
-Controllers of two versions exchange frames during an upgrade, so that the names of fields and the order of a machine's
-values are fixed; they differ from the attributes here. Frames hold thousands of machines and are sent about twice a
-second, so that a machine is a plain tuple with names.
+Controllers of two versions exchange frames during a rolling upgrade, so the encoded field names and the order of a
+machine's values are fixed; the attribute names here differ from them. A frame contains thousands of machines and is
+sent about twice a second, so a machine is a named tuple, which is encoded as a plain array.
 """
 
 from __future__ import annotations
@@ -15,42 +15,42 @@
 
 
 class InvalidPeerFrameError(Exception):
-    """A frame can't be read."""
+    """A frame lacks a field or has a value of a wrong type."""
 
 
 class PeerMachine(NamedTuple):
-    """A machine that the sender holds, or one that it has released, in the order of the frame's values."""
+    """A machine that the sender holds or has released. The order of the fields is the order in the frame."""
 
     name: str
     type: str
     zone: str
     spot: int  # 1 or 0
-    released: int  # 1 or 0; of a released machine the frame holds only the name
+    released: int  # 1 or 0; a released machine has no other values than its name
     host: str
-    port: int  # 0: the address isn't known
+    port: int  # 0 if the address is unknown
     session: int
 
     @classmethod
     def of_released(cls, name: str) -> PeerMachine:
-        """A machine that the sender has released."""
+        """Return the entry of a machine that the sender has released."""
         return cls(name, "", "", 0, 1, "", 0, 0)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerFrame:
-    """What a controller knows of shards and machines."""
+    """A controller's information on shards and machines."""
 
     sender: str
-    state_as_of: float  # time of day at which its last completed read of the key-value store began
+    state_as_of: float  # wall-clock time at which the sender's last completed read of the key-value store began
     machines: Sequence[PeerMachine]
     held_shards: Sequence[str]
     holders: Mapping[str, ShardHolder]
-    # Unknown to controllers before format 2, and None to them.
-    crash_looping_jobs: Sequence[str] | None = None  # jobs that failed wherever the sender tried them
+    # Controllers before schema version 2 don't know the following fields; they are None in frames for these.
+    crash_looping_jobs: Sequence[str] | None = None  # jobs that failed on every machine on which the sender tried them
     report_ages_s: Mapping[str, float] | None = None  # shard -> seconds since a worker last reported
 
     def pack(self) -> dict[str, Any]:
-        """The frame as it is sent; machines and holders are encoded as arrays, as any tuple."""
+        """Return the frame in its encoded form; machines and holders are tuples, which are encoded as arrays."""
         frame = {
             "from": self.sender,
             "state_contact": self.state_as_of,
@@ -66,7 +66,7 @@
 
     @classmethod
     def unpack(cls, frame: Mapping[str, Any]) -> PeerFrame:
-        """Read a frame as a whole; raises InvalidPeerFrameError."""
+        """Return the typed form of a received frame. Raises InvalidPeerFrameError if any part of it is invalid."""
         try:
             return cls(
                 sender=frame["from"],
@@ -84,5 +84,5 @@
 def _unpack_holder(row: Sequence[Any]) -> ShardHolder:
     holder = ShardHolder._make(row)
     if not isinstance(holder.token, int):
-        raise TypeError("a token is no integer")
+        raise TypeError("fencing token is not an integer")
     return holder
--- a/tidebend/coordination/records.py
+++ b/tidebend/coordination/records.py
@@ -1,7 +1,7 @@
-"""The coordination records in the key-value store: their keys, and their typed forms.
+"""Coordination records in the key-value store: keys and typed forms.
 
-The names of fields as stored are part of the store's format and differ from the attributes here. `pack` returns what is
-stored, `unpack` reads it; a record that lacks a field raises KeyError.
+The stored field names are part of the schema and differ from the attribute names here. `pack` returns the stored form
+and `unpack` reads it; `unpack` raises KeyError if a field is missing.
 """
 
 from __future__ import annotations
@@ -22,101 +22,101 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """Which controller leads. It is attached to the leader's lease; its revision is the leader's term."""
+    """The leader. The record is attached to the leader's lease; its revision is the leader's term."""
 
     node: str
     lease: int
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"node": self.node, "lease": self.lease}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> LeaderRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["node"], value["lease"])
 
 
 @dataclass(frozen=True, slots=True)
 class NodeRecord:
-    """A live controller. It is attached to the controller's lease."""
+    """A live controller. The record is attached to the controller's lease."""
 
-    lease: int | None  # None if it was written while the controller had no lease
+    lease: int | None  # None if the record was written while the controller had no lease
     zone: str
-    unreachable_shards: tuple[str, ...]  # the shards of which it reaches no machine
+    unreachable_shards: tuple[str, ...]  # shards of which the controller reaches no machine
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"lease": self.lease, "zone": self.zone, "unheard": list(self.unreachable_shards)}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> NodeRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["lease"], value["zone"], tuple(value.get("unheard", ())))
 
 
 @dataclass(frozen=True, slots=True)
 class ShardRecord:
-    """Which controller holds a shard. It is attached to the holder's lease; its revision is the fencing token."""
+    """The holder of a shard. The record is attached to the holder's lease; its revision is the fencing token."""
 
     holder: str
-    lease: int | None  # None if the holder's node record was written while it had no lease
+    lease: int | None  # None if the holder's node record was written while the holder had no lease
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"holder": self.holder, "lease": self.lease}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> ShardRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["holder"], value["lease"])
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneRecord:
-    """An isolated zone: its own controller has lost contact with the store. It is attached to no lease."""
+    """An isolated zone: its own controller has lost contact with the store. The record is attached to no lease."""
 
     node: str
-    isolated_at: float  # time of day
-    was_holding: bool  # whether that controller had said itself that it holds the zone's shard
+    isolated_at: float  # wall-clock time
+    was_holding: bool  # whether that controller had reported that it holds the zone's shard
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"node": self.node, "at": round(self.isolated_at, 3), "held": self.was_holding}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> ZoneRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["node"], value["at"], value["held"])
 
 
 @dataclass(frozen=True, slots=True)
 class FormatRecord:
-    """The format of records that is in force."""
+    """The schema version that is in force."""
 
     version: int
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"version": self.version}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> FormatRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["version"])
 
 
 @dataclass(frozen=True, slots=True)
 class ReadsRecord:
-    """The newest format of records that a controller reads."""
+    """The newest schema version that a controller can read."""
 
     newest: int
 
     def pack(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Return the record in its stored form."""
         return {"newest": self.newest}
 
     @classmethod
     def unpack(cls, value: Mapping[str, Any]) -> ReadsRecord:
-        """Read a stored record."""
+        """Return the typed form of a stored record."""
         return cls(value["newest"])
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -1,8 +1,9 @@
-"""Which format of records is in force: production's, or the one that came with pipelines.
+"""The schema version of the stored records, and its upgrade during a rolling upgrade of the controllers.
 
-Format 1 is what the version before pipelines reads and writes. A process of that version drops what it doesn't know,
-so until none can come back, everything is written as it would write it. Each process announces the newest format that
-it reads, for good; once every configured controller has, the leader raises the format, for good too.
+Version 1 is read and written by the release before pipelines, version 2 adds pipelines. A process of the older release
+drops fields that it doesn't know, so records are written in version 1 until no such process can return. Each process
+permanently announces the newest version that it reads; once every configured controller has announced the new one, the
+leader puts it into force. This can't be undone.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
 
 
 class SchemaVersion:
-    """The format in force, as of the cache, and what is done to raise it."""
+    """The schema version in force according to the cache, and the steps that upgrade it."""
 
     def __init__(self, settings: Settings, client: KeyValueClient, cache: WatchCache) -> None:
-        """The controllers whose announcements are waited for are those of the settings."""
+        """An upgrade waits for the announcements of all controllers in the settings."""
         self.settings = settings
         self.client = client
         self.cache = cache
@@ -39,66 +40,68 @@
 
     @property
     def version(self) -> int:
-        """The format in force, as far as we have read: it only grows, so that acting on an old reading is safe."""
+        """The schema version in force according to the cache; it only grows, so a stale value is safe."""
         value, _ = self.cache.get(FORMAT)
         return _version_in_force(value)
 
     @property
     def supports_pipelines(self) -> bool:
-        """Whether records may hold what came with pipelines."""
+        """Whether records may contain the fields that were added with pipelines."""
         return self.version >= PIPELINES
 
     def announce(self) -> None:
-        """Write the newest format that this process reads, unless that is on record.
+        """Record the newest schema version that this process reads, unless the record exists.
 
-        It stays when the process ends, which comes back no older. Raises as the client does.
+        The record outlives the process, since a controller isn't restarted with an older release afterwards. Raises the
+        errors of `WatchCache.write`.
         """
         if not self._has_logged_version:
             self._has_logged_version = True
             log.info("schema version %d is in force as of revision %d", self.version, self.cache.revision)
         key = READS + self.settings.name
         value, version = self.cache.get(key)
-        if _newest_read(value) < NEWEST:
+        if _newest_readable(value) < NEWEST:
             self._put(key, ReadsRecord(NEWEST).pack(), {key: version})
             log.info("announced that this process reads up to schema version %d", NEWEST)
 
     def upgrade_if_all_support(self, leader: Mapping[str, int]) -> None:
-        """Raise the format if all controllers read it; `leader` is the condition that we still lead.
+        """Put the newest schema version into force if all controllers have announced that they read it.
 
-        Raises as the client does.
+        `leader` is the transaction condition that this controller still leads. Raises the errors of
+        `WatchCache.write`.
         """
         if self.version >= NEWEST:
             return
         conditions = dict(leader)
-        for name in _controllers(self.settings):
+        for name in _controller_names(self.settings):
             value, version = self.cache.get(READS + name)
-            if _newest_read(value) < NEWEST:
+            if _newest_readable(value) < NEWEST:
                 return
             conditions[READS + name] = version
         _, version = self.cache.get(FORMAT)
         self._put(FORMAT, FormatRecord(NEWEST).pack(), {**conditions, FORMAT: version})
-        log.info("schema version %d is in force from now on; there is no way back below it", NEWEST)
+        log.info("upgraded to schema version %d; a downgrade is not possible", NEWEST)
 
     def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> None:
         self.cache.write(conditions, [(key, value, None)], RequestKind.LEASE)
 
 
 def show(settings: Settings) -> int:
-    """Print for operators what is in force, and whom the next format waits for; returns the exit status."""
+    """Print the schema version in force and the newest one that each controller reads; return the exit status."""
     client = KeyValueClient(settings.state, settings.store_limits, settings.controller_count, timeout=SHOW_TIMEOUT_S)
     try:
         value, _ = client.get(FORMAT)
-        print(f"format {_version_in_force(value)} is in force")
-        for name in sorted(_controllers(settings)):
+        print(f"schema version {_version_in_force(value)} is in force")
+        for name in sorted(_controller_names(settings)):
             value, _ = client.get(READS + name)
-            print(f"{name} reads up to format {_newest_read(value)}")
+            print(f"{name} reads up to schema version {_newest_readable(value)}")
     except (NotExecutedError, OutcomeUnknownError) as error:
-        print(f"tidebend: the state service can't be read: {error}", file=sys.stderr)
+        print(f"tidebend: can't read the key-value store: {error}", file=sys.stderr)
         return 1
     return 0
 
 
-def _controllers(settings: Settings) -> tuple[str, ...]:
+def _controller_names(settings: Settings) -> tuple[str, ...]:
     return settings.name, *(peer.name for peer in settings.peers)
 
 
@@ -106,5 +109,5 @@
     return FormatRecord.unpack(value).version if value else FIRST
 
 
-def _newest_read(value: Any) -> int:
+def _newest_readable(value: Any) -> int:
     return ReadsRecord.unpack(value).newest if value else FIRST
--- a/tidebend/coordination/shard_assignment.py
+++ b/tidebend/coordination/shard_assignment.py
@@ -1,4 +1,4 @@
-"""The leader's part: which controller is to hold which shard."""
+"""Assignment of shards to controllers, done by the leader."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 log = logging.getLogger("coordination")
 
-# how long a worker waits for a controller's answer, and then until it tries the next one, in seconds; fixed by the
-# protocol
+# How long a worker waits for a controller's answer, and then before it tries the next controller; both are fixed by the
+# protocol.
 WORKER_ANSWER_TIMEOUT_S = 4.0
 WORKER_RETRY_PAUSE_S = 1.0
 WORKER_FAILOVER_S = WORKER_ANSWER_TIMEOUT_S + WORKER_RETRY_PAUSE_S
-# a worker's report is sent up to this many report intervals after the one before
-MAX_REPORT_INTERVALS = 1.25
-# shards are moved for balance only between controllers whose numbers of shards differ by as much
+# Longest time between two reports of a worker, as a multiple of the report interval.
+MAX_REPORT_GAP_INTERVALS = 1.25
+# Minimum difference in the number of shards held at which a shard is moved to balance the load.
 MIN_LOAD_DIFFERENCE = 2
 
 
 class Suitability(NamedTuple):
-    """How well a controller suits a shard: of two, the smaller one does better. The first field counts most."""
+    """How suitable a controller is as a shard's holder: smaller is better, and earlier fields take precedence."""
 
-    cannot_reach: bool  # it reaches none of the shard's machines
-    is_exposed: bool  # its workers would lose their leases if it failed
+    cannot_reach: bool  # the controller reaches none of the shard's machines
+    lacks_failover: bool  # its workers would lose their leases if it failed
     is_outside_zone: bool
     shards_held: int
-    # whose workers would try a dead controller next if it failed, and so lose another time-out
-    is_successor_away: bool
+    # If the controller failed, its workers would try a dead one next and lose another timeout.
+    is_successor_down: bool
     node: str
 
 
@@ -42,50 +42,53 @@
 class Cluster:
     """The controllers at the time of one assignment."""
 
-    names: Sequence[str]  # all that are configured, in the order in which workers try them
+    names: Sequence[str]  # all configured controllers, in the order in which workers try them
     live: Mapping[str, NodeRecord]
-    exposed: frozenset[str]
+    without_failover: frozenset[str]  # controllers whose workers would lose their leases if they failed
 
     def successor(self, name: str) -> str:
-        """The controller that the workers of this one try next."""
+        """Return the controller that workers try after this one."""
         if name not in self.names:
             return name
         return self.names[(self.names.index(name) + 1) % len(self.names)]
 
     def suitability(self, shard: str, name: str, shards_held: Mapping[str, int]) -> Suitability:
-        """How well a live controller suits a shard."""
+        """Return how suitable a live controller is as a shard's holder."""
         node = self.live[name]
         return Suitability(
             cannot_reach=shard in node.unreachable_shards,
-            is_exposed=name in self.exposed,
+            lacks_failover=name in self.without_failover,
             is_outside_zone=node.zone != zone_of(shard),
             shards_held=shards_held[name],
-            is_successor_away=self.successor(name) not in self.live,
+            is_successor_down=self.successor(name) not in self.live,
             node=name,
         )
 
 
-def is_improvement(current: Suitability, best: Suitability, is_best_settled: bool, must_wait: bool) -> bool:
-    """Whether a shard is to move from its present holder to the best one.
+def is_improvement(current: Suitability, best: Suitability, is_best_stable: bool, ignore_unreachable: bool) -> bool:
+    """Return whether a shard should move from its current holder to the best candidate.
 
-    `is_best_settled`: the best one has been live for a while. `must_wait`: that the present holder reaches no machine
-    is no reason yet.
+    `is_best_stable`: the best candidate has been live for a while. `ignore_unreachable`: don't move the shard yet just
+    because its holder reaches none of its machines.
     """
     if best.cannot_reach:
         return False
-    if current.cannot_reach and not must_wait:
+    if current.cannot_reach and not ignore_unreachable:
         return True
-    if not is_best_settled:
+    if not is_best_stable:
         return False
-    if current.is_exposed != best.is_exposed:
-        return current.is_exposed
+    if current.lacks_failover != best.lacks_failover:
+        return current.lacks_failover
     if current.is_outside_zone != best.is_outside_zone:
         return current.is_outside_zone
     return current.shards_held - best.shards_held >= MIN_LOAD_DIFFERENCE
 
 
 class ShardAssignment:
-    """Grants shards to live controllers. Its memory of times is the leader's own and begins anew with each process."""
+    """Grants shards to live controllers.
+
+    The recorded times are local to the leader's process; they aren't stored, and are lost with the process.
+    """
 
     def __init__(
         self,
@@ -94,19 +97,22 @@
         shard_records: ShardRecords,
         is_isolated: Callable[[str], bool],
     ) -> None:
-        """`is_isolated`: whether a shard's zone is isolated with its controller."""
+        """`is_isolated` returns whether a shard's zone is isolated with its controller."""
         self._settings = settings
         self._cache = cache
         self._shard_records = shard_records
         self._is_isolated = is_isolated
-        self._names = sorted({settings.name, *(peer.name for peer in settings.peers)})
-        # steady times
+        self._controller_names = sorted({settings.name, *(peer.name for peer in settings.peers)})
+        # monotonic times
         self._live_since: dict[str, float] = {}
-        self._away_since: dict[str, float] = {}
-        self._unreachable_since: dict[tuple[str, str], float] = {}  # (shard, node): since when the node says so
+        self._down_since: dict[str, float] = {}
+        self._unreachable_since: dict[tuple[str, str], float] = {}  # by shard and node that reports it
 
     def assign(self) -> None:
-        """Grant each shard that has no live holder, or a worse one than it might have. Raises as the client does."""
+        """Grant each shard that has no holder, and move those that have a better candidate.
+
+        Raises the errors of `WatchCache.write`.
+        """
         now = time.monotonic()
         cluster = self._read_cluster(now)
         records = self._shard_records.all()
@@ -117,7 +123,7 @@
             if record.holder in shards_held:
                 shards_held[record.holder] += 1
         for shard in sorted({shard_of(zone) for zone in self._settings.zones} | records.keys()):
-            self._forget_reachable(shard, cluster)
+            self._clear_reachable(shard, cluster)
             self._assign_shard(shard, records.get(shard), cluster, shards_held, now)
 
     def _read_cluster(self, now: float) -> Cluster:
@@ -125,25 +131,27 @@
             key[len(NODE) :]: NodeRecord.unpack(value) for key, (value, _) in self._cache.get_by_prefix(NODE).items()
         }
         self._live_since = {name: self._live_since.get(name, now) for name in live}
-        return Cluster(self._names, live, frozenset(self._exposed(now)))
+        return Cluster(self._controller_names, live, frozenset(self._without_failover(now)))
 
-    def _exposed(self, now: float) -> set[str]:
-        """The controllers whose workers would lose their leases if they failed, too: the next one in the workers' order
-        has been away for a while, and two time-outs are longer than a lease.
+    def _without_failover(self, now: float) -> set[str]:
+        """Return the controllers whose workers would lose their leases if the controller failed.
 
-        Guards the tasks of a zone whose controller fails while the next one is away for long: its workers found the
-        third too late.
+        These are the controllers whose successor in the workers' order has been down for a while, provided that two
+        failovers take longer than a lease: the workers would find the third controller too late, and the zone's tasks
+        would be lost.
         """
         lease_s = self._settings.lease_s
-        if lease_s > 2.0 * WORKER_FAILOVER_S + MAX_REPORT_INTERVALS * self._settings.report_s:
+        if lease_s > 2.0 * WORKER_FAILOVER_S + MAX_REPORT_GAP_INTERVALS * self._settings.report_s:
             return set()
-        away = {name for name in self._names if name not in self._live_since}
-        self._away_since = {name: self._away_since.get(name, now) for name in away}
-        away_for_long = {name for name, since in self._away_since.items() if now - since > lease_s}
-        successors = [*self._names[1:], self._names[0]]
-        return {name for name, successor in zip(self._names, successors, strict=True) if successor in away_for_long}
+        down = {name for name in self._controller_names if name not in self._live_since}
+        self._down_since = {name: self._down_since.get(name, now) for name in down}
+        long_down = {name for name, since in self._down_since.items() if now - since > lease_s}
+        successors = [*self._controller_names[1:], self._controller_names[0]]
+        return {
+            name for name, successor in zip(self._controller_names, successors, strict=True) if successor in long_down
+        }
 
-    def _forget_reachable(self, shard: str, cluster: Cluster) -> None:
+    def _clear_reachable(self, shard: str, cluster: Cluster) -> None:
         for name, node in cluster.live.items():
             if shard not in node.unreachable_shards:
                 self._unreachable_since.pop((shard, name), None)
@@ -165,17 +173,17 @@
         if holder == best.node or holder not in cluster.live:
             return
         current = candidates[holder]
-        is_settled = now - self._live_since[best.node] > self._settings.controller_lease_s
-        must_wait = current.cannot_reach and self._must_wait(shard, holder, now)
-        if is_improvement(current, best, is_settled, must_wait):
+        is_best_stable = now - self._live_since[best.node] > self._settings.controller_lease_s
+        ignore_unreachable = current.cannot_reach and self._should_ignore_unreachable(shard, holder, now)
+        if is_improvement(current, best, is_best_stable, ignore_unreachable):
             self._grant(shard, versioned.version, best.node, cluster, shards_held)
             shards_held[holder] -= 1
 
-    def _must_wait(self, shard: str, holder: str, now: float) -> bool:
-        """Whether a shard stays with a holder that reaches none of its machines, for now.
+    def _should_ignore_unreachable(self, shard: str, holder: str, now: float) -> bool:
+        """Return whether a shard stays for now with a holder that reaches none of its machines.
 
-        All controllers probe an isolated zone at the same time: none takes it from another before it has had time to
-        say what it reaches.
+        All controllers probe an isolated zone at the same time, so its shard isn't moved before each of them has had
+        time to report which machines it reaches.
         """
         since = self._unreachable_since.setdefault((shard, holder), now)
         return self._is_isolated(shard) and now - since < self._settings.controller_lease_s
@@ -184,4 +192,4 @@
         lease = cluster.live[name].lease
         self._shard_records.grant(shard, version, name, lease)
         shards_held[name] += 1
-        log.info("shard %s goes to %s", shard, name)
+        log.info("shard %s granted to %s", shard, name)
--- a/tidebend/coordination/shard_holdings.py
+++ b/tidebend/coordination/shard_holdings.py
@@ -1,4 +1,4 @@
-"""The shards that this controller holds: grants acquired and lost, and what peers know of newer grants."""
+"""The shards that this controller holds: acquired and lost grants, and newer grants that peers have reported."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ShardHoldings:
-    """Our grants, checked against the records and against the fencing tokens that peers and workers have seen."""
+    """This controller's grants, checked against the records and the fencing tokens that peers and workers have seen."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         on_acquired: Callable[[ShardGrant], None],
         on_holder_seen: Callable[[str, str], None],
     ) -> None:
-        """`on_acquired` is called with each new grant, `on_holder_seen` with each shard and its holder on record."""
+        """`on_acquired` is called with each new grant, `on_holder_seen` with each shard and its recorded holder."""
         self._name = name
         self._session_lease = session_lease
         self._cache = cache
@@ -40,13 +40,13 @@
         self._on_holder_seen = on_holder_seen
         self._lock = threading.Lock()
         self._held: dict[str, ShardGrant] = {}
-        self._raised_tokens: dict[str, int] = {}  # shard -> the token that we gave ourselves in the place of our last
-        self._newest_known: dict[str, ShardHolder] = {}  # shard -> its newest holder by what peers say
+        self._raised_tokens: dict[str, int] = {}  # shard -> token with which this controller replaced its own
+        self._newest_known: dict[str, ShardHolder] = {}  # shard -> newest holder that a peer has reported
 
-    # What we know
+    # Queries
 
     def holder(self, shard: str) -> str | None:
-        """Who holds the shard: by its record, or by a peer that knows a higher token."""
+        """Return the shard's holder by its record, or as reported by a peer with a higher token."""
         versioned = self._shard_records.get(shard)
         token = versioned.version if versioned else NO_TOKEN
         with self._lock:
@@ -56,7 +56,7 @@
         return versioned.record.holder if versioned else None
 
     def grant(self, shard: str) -> ShardGrant | None:
-        """Our grant of the shard; None if we have none, or a peer knows a higher token."""
+        """Return this controller's grant of the shard; None without a grant, or if a peer knows a higher token."""
         with self._lock:
             grant = self._held.get(shard)
             known = self._newest_known.get(shard)
@@ -65,31 +65,31 @@
         return grant
 
     def grants(self) -> list[ShardGrant]:
-        """All grants that are ours to act on."""
+        """Return all grants of this controller for which no peer knows a higher token."""
         with self._lock:
             shards = list(self._held)
         return [grant for grant in map(self.grant, shards) if grant is not None]
 
     def held_zones(self) -> dict[str, tuple[str, int]]:
-        """The zones whose shards are ours, with the transaction conditions that they still are."""
+        """Return the zones whose shards this controller holds, each with the transaction condition of its grant."""
         return {zone_of(grant.shard): self.condition(grant) for grant in self.grants()}
 
     def condition(self, grant: ShardGrant) -> tuple[str, int]:
-        """The transaction condition (key, version) that the grant is still the newest one."""
+        """Return the transaction condition (key, version) that the grant is still the newest one of its shard."""
         return SHARD + grant.shard, grant.token
 
-    # What others know
+    # Information from workers and peers
 
     def observe_higher_token(self, shard: str, token: int) -> None:
-        """A worker has seen a token; if it is higher than ours our grant is over."""
+        """Drop the shard's grant if a worker has seen a higher token than the grant's."""
         with self._lock:
             grant = self._held.get(shard)
             if grant is not None and token > grant.token:
                 del self._held[shard]
-                log.info("shard %s: token %s is above ours, %s", shard, token, grant.token)
+                log.info("shard %s lost: a worker has seen token %s, higher than %s", shard, token, grant.token)
 
     def learn_holders(self, holders: Mapping[str, ShardHolder]) -> None:
-        """Take over a peer's table of holders where its tokens are higher."""
+        """Merge a peer's table of holders; entries with higher tokens win."""
         with self._lock:
             for shard, holder in holders.items():
                 if holder.token > self._newest_known.get(shard, NO_HOLDER).token:
@@ -98,34 +98,39 @@
     # Changes
 
     def raise_fencing_token(self, grant: ShardGrant) -> None:
-        """Grant ourselves the shard anew: what was sent under the old token can't be executed once a worker knows the
-        new one."""
+        """Grant the shard to this controller again, under a new fencing token.
+
+        Once a worker knows the new token it rejects commands that were sent with the old one.
+        """
         lease = self._session_lease.lease
         if lease is None or not self._session_lease.is_valid:
             return
         try:
             token = self._shard_records.grant(grant.shard, grant.token, self._name, lease)
         except KeyValueError as error:
-            log.info("shard %s: no new token: %s", grant.shard, error)
+            log.info("failed to raise the fencing token of shard %s: %s", grant.shard, error)
         else:
             self._raised_tokens[grant.shard] = token
 
     def refresh(self) -> None:
-        """Notice grants and losses; after a restart, take our own shards back at once. Raises as the client does."""
+        """Process grants and losses in the records; after a restart, reclaim the shards of the former lease at once.
+
+        Raises the errors of `WatchCache.write`.
+        """
         acquired_tokens = self._find_new_tokens()
         self._drop_lost()
         if acquired_tokens:
             self._acquire(acquired_tokens)
 
     def _find_new_tokens(self) -> dict[str, int]:
-        """The shards that were granted to our present lease with a token that we don't act on yet."""
+        """Return the shards that were granted to the current lease with a token that isn't in use yet."""
         found: dict[str, int] = {}
         for shard, (record, version) in self._shard_records.all().items():
             self._on_holder_seen(shard, record.holder)
             if record.holder != self._name:
                 continue
             if record.lease != self._session_lease.lease:
-                self._take_back(shard, version)
+                self._reclaim(shard, version)
                 continue
             with self._lock:
                 held = self._held.get(shard)
@@ -133,30 +138,31 @@
                 found[shard] = version
         return found
 
-    def _take_back(self, shard: str, version: int) -> None:
-        """Grant a shard that a former lease of ours holds to our present one."""
+    def _reclaim(self, shard: str, version: int) -> None:
+        """Grant a shard that is held under a former lease of this controller to the current lease."""
         lease = self._session_lease.lease
         if lease is not None and self._session_lease.is_valid:
             self._shard_records.grant(shard, version, self._name, lease)
 
     def _drop_lost(self) -> None:
-        current = self._shard_records.all()
+        records = self._shard_records.all()
         lost = []
         with self._lock:
             for shard, grant in list(self._held.items()):
-                versioned = current.get(shard)
+                versioned = records.get(shard)
                 if versioned is None or (versioned.version > grant.token and versioned.record.holder != self._name):
                     lost.append(shard)
                     del self._held[shard]
         for shard in lost:
-            log.info("shard %s is no longer ours", shard)
+            log.info("shard %s lost: it has no record or another holder", shard)
 
     def _acquire(self, tokens: dict[str, int]) -> None:
-        """Act on new tokens after a read begun now.
+        """Start using new tokens after a read barrier.
 
-        Allocations that were recorded before the grant must be known before the first answer: our own transactions
-        reach the cache ahead of others' earlier ones. That read may also bring later grants: guards a controller that
-        was partitioned from the store against acting on its old ones.
+        The cache must contain all allocations that were recorded before the grant, but this controller's own
+        transactions reach the cache ahead of other controllers' earlier ones. The read may also return later grants;
+        tokens that these replace are dropped, so that a controller that was partitioned from the store doesn't act on
+        its old grants.
         """
         if not self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM):
             return
@@ -168,15 +174,15 @@
             ]
             self._held.update((grant.shard, grant) for grant in grants)
         for grant in grants:
-            log.info("shard %s is ours with token %s", grant.shard, grant.token)
+            log.info("shard %s acquired with token %s", grant.shard, grant.token)
             self._on_acquired(grant)
 
     def _held_since(self, shard: str, token: int, now: float) -> float:
-        """Since when we have held a shard without a break, if this token is ours; called under the lock.
+        """Return since when this controller has held a shard without interruption; called under the lock.
 
-        A token that we raised ourselves continues the grant before. Guards against a time-out that begins anew with
-        each token: while a shard's workers are unreachable we raise it again and again, for the commands that got no
-        answer. With any other token, others may have held the shard meanwhile.
+        A token that this controller raised itself continues the previous grant. Otherwise the timeout of unreachable
+        workers would restart with each new token, and the token is raised repeatedly while workers are unreachable and
+        commands get no answer. With any other token, another controller may have held the shard in between.
         """
         if shard in self._held and token == self._raised_tokens.get(shard):
             return self._held[shard].held_since
--- a/tidebend/coordination/shards.py
+++ b/tidebend/coordination/shards.py
@@ -1,4 +1,4 @@
-"""Shards of machines, grants of them, and the records that say who holds which."""
+"""Shards of machines, their grants, and access to the shard records."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 
 def shard_of(zone: str) -> str:
-    """The shard a machine belongs to: a pure function of its zone (and, were zones larger, of its name)."""
+    """Return the shard of a zone's machines. Each zone is one shard; larger zones could be divided by machine name."""
     return f"{zone}.0"
 
 
 def zone_of(shard: str) -> str:
-    """The zone whose machines a shard holds."""
+    """Return the zone of a shard's machines."""
     return shard.rpartition(".")[0]
 
 
 class ShardHolder(NamedTuple):
-    """Who holds a shard, and the fencing token that it was granted with."""
+    """A shard's holder, and the fencing token of its grant."""
 
     token: int
     node: str
@@ -34,23 +34,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardGrant:
-    """A shard that is ours: the token is the revision of the granting transaction."""
+    """A grant of a shard to this controller; the fencing token is the revision of the granting transaction."""
 
     shard: str
     token: int
-    acquired_at: float  # steady time from which we act on it
-    held_since: float  # ... and from which we have held the shard without a break, under earlier tokens too
+    acquired_at: float  # monotonic time from which the grant is used
+    held_since: float  # monotonic time since which the shard is held without interruption, also under earlier tokens
 
 
 class VersionedShardRecord(NamedTuple):
-    """A shard's record, and its version, which is the holder's fencing token."""
+    """A shard's record and its version; the version is the holder's fencing token."""
 
     record: ShardRecord
     version: int
 
 
 class ShardRecords:
-    """Reads and writes the records that say which controller holds which shard."""
+    """Reads and writes the shard records."""
 
     def __init__(self, cache: WatchCache, on_granted: Callable[[], None]) -> None:
         """`on_granted` is called after each grant that was written."""
@@ -58,25 +58,25 @@
         self._on_granted = on_granted
 
     def all(self) -> dict[str, VersionedShardRecord]:
-        """The records by shard, as of the cache."""
+        """Return all records by shard, from the cache."""
         return {
             key[len(SHARD) :]: VersionedShardRecord(ShardRecord.unpack(value), version)
             for key, (value, version) in self._cache.get_by_prefix(SHARD).items()
         }
 
     def get(self, shard: str) -> VersionedShardRecord | None:
-        """One shard's record, as of the cache."""
+        """Return one shard's record from the cache; None if there is none."""
         value, version = self._cache.get(SHARD + shard)
         return None if value is None else VersionedShardRecord(ShardRecord.unpack(value), version)
 
     def holders(self) -> dict[str, ShardHolder]:
-        """Who holds which shard, as of the cache."""
+        """Return the holder of each shard, from the cache."""
         return {shard: ShardHolder(version, record.holder) for shard, (record, version) in self.all().items()}
 
     def grant(self, shard: str, version: int, holder: str, lease: int | None) -> int:
-        """Write a grant in the place of the record of that version (0: there is none); the new fencing token.
+        """Grant a shard if its record still has the given version (0: no record); return the new fencing token.
 
-        NO_TOKEN if the holder's lease has ended; else raises as the client does.
+        Returns NO_TOKEN if the holder's lease has ended. Raises the other errors of `WatchCache.write`.
         """
         key = SHARD + shard
         try:
@@ -84,7 +84,7 @@
                 {key: version}, [(key, ShardRecord(holder, lease).pack(), lease)], RequestKind.LEASE
             )
         except LeaseNotFoundError:
-            log.debug("shard %s: %s has no lease any more", shard, holder)
+            log.debug("shard %s not granted: the lease of %s has ended", shard, holder)
             return NO_TOKEN
         self._on_granted()
         return token
