--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -1,4 +1,4 @@
-"""The key-value store's client, and a cache of its keys that knows how old it is."""
+"""The client of the key-value store, and a watch cache of the live keys that tracks its staleness."""
 
 from tidebend.kvclient.client import KeyValueClient
 from tidebend.kvclient.errors import (
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -1,4 +1,4 @@
-"""The key-value store's client, within its budget of requests."""
+"""The client of the key-value store. It keeps within this controller's request budget."""
 
 from __future__ import annotations
 
@@ -28,12 +28,11 @@
 
 MAX_CONNECTIONS = 6
 ITEMS_PER_PAGE = 500
-# a page of items may take so many times as long as another request
-PAGE_TIMEOUTS = 2.0
-# Requests for which a lease or a user waits are tried again for this share of a time-out if they are over budget or
-# refused for their rate. Guards them against the other controllers' requests: together they may take more than the
-# store has.
-RETRY_SHARE = 0.5
+# Timeout of a page of items, as a multiple of the timeout of other requests.
+PAGE_TIMEOUT_FACTOR = 2.0
+# Time for which lease requests and reads on demand are retried if they are over budget or rate-limited, as a fraction
+# of the timeout: the budgets of all controllers together may exceed the store's limits.
+RETRY_TIMEOUT_FRACTION = 0.5
 DEFAULT_WRITE_RETRY_S = 0.5
 PAGE_RETRY_S = 1.0
 
@@ -54,15 +53,15 @@
     path: str
     kind: RequestKind
     body: Any = None
-    writes: int = 0  # how many changes it makes
-    timeout_s: float | None = None  # None: that of the client
-    retry_for_s: float = 0.0  # for so long it is tried again if it is over budget or refused for its rate
+    writes: int = 0  # number of writes in the request
+    timeout_s: float | None = None  # None: the client's timeout
+    retry_for_s: float = 0.0  # how long it is retried while it is over budget or rate-limited
 
 
 class KeyValueClient:
-    """Requests to the store; any thread may make them.
+    """Sends requests to the store. Safe for use by several threads.
 
-    Unless a method says otherwise it raises NotExecutedError (also OverBudgetError) or OutcomeUnknownError.
+    Methods raise NotExecutedError (including OverBudgetError) or OutcomeUnknownError unless stated otherwise.
     """
 
     def __init__(
@@ -73,29 +72,29 @@
         timeout: float,
         connect: Callable[..., HttpClient] = HttpClient,
     ) -> None:
-        """`controllers`: how many share the store's limits; `timeout`: of a request, in seconds."""
+        """`controllers`: number of controllers that share `limits`; `timeout`: of a request, in seconds."""
         self._http = connect(address, max_idle=MAX_CONNECTIONS)
         self._budget = RequestBudget(limits, controllers, timeout)
         self.timeout = timeout
-        self._retry_s = RETRY_SHARE * timeout
+        self._retry_for_s = RETRY_TIMEOUT_FRACTION * timeout
 
     @property
     def watch_pause_s(self) -> float:
-        """How long to wait between two watches."""
+        """Pause between two watch requests, in seconds."""
         return self._budget.watch_pause_s
 
     @property
     def poll_read_interval_s(self) -> float:
-        """How far apart reads for polls alone begin."""
+        """Interval between reads that serve only polls, in seconds."""
         return self._budget.poll_read_interval_s
 
     @property
     def writes_per_s(self) -> float:
-        """How many changes we may make in a second."""
+        """Number of writes per second that this controller may make."""
         return self._budget.writes_per_s
 
     def set_limits(self, limits: StoreLimits) -> None:
-        """Take over other limits of the store."""
+        """Change the limits of the store."""
         self._budget.set_limits(limits)
 
     def transact(
@@ -105,12 +104,12 @@
         kind: str = RequestKind.CLAIM,
         retry_for_s: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
-        """Make the changes, all or none, if each key of `conditions` has that version; returns the revision.
+        """Execute all writes atomically if each key in `conditions` has the given version; return the revision.
 
-        For `retry_for_s` seconds it is tried again if it is over budget or refused for its rate.
-        Raises ConflictError, LeaseNotFoundError, TransactionTooLargeError, NotExecutedError or OutcomeUnknownError.
+        The request is retried for `retry_for_s` seconds while it is over budget or rate-limited. Raises ConflictError,
+        LeaseNotFoundError, TransactionTooLargeError, NotExecutedError or OutcomeUnknownError.
         """
-        log.debug("%s: %d changes of %s", kind, len(writes), " ".join(key for key, _, _ in writes))
+        log.debug("transaction of kind %s with %d writes: %s", kind, len(writes), " ".join(key for key, _, _ in writes))
         request = _Request(
             "POST",
             protocol.PATH_TRANSACTION,
@@ -125,7 +124,7 @@
         raise _transaction_error(status, answer, len(writes))
 
     def get(self, key: str, kind: str = RequestKind.POLL, retry_for_s: float = 0.0) -> VersionedValue:
-        """The value and its version, ABSENT if there is no such key."""
+        """Return the value and its version; ABSENT if the key doesn't exist."""
         status, answer = self._call(_Request("GET", protocol.key_path(key), RequestKind(kind), retry_for_s=retry_for_s))
         if status == NOT_FOUND:
             return ABSENT
@@ -133,12 +132,12 @@
         return VersionedValue(*_parse(protocol.parse_item, answer))
 
     def items(self, prefix: str, after: str | None) -> Page:
-        """A page of the keys under a prefix, from the first one after `after` on."""
+        """Return a page of the keys with a prefix, starting with the first key after `after`."""
         request = _Request(
             "GET",
             protocol.range_path(prefix, after, ITEMS_PER_PAGE),
             RequestKind.CLAIM,
-            timeout_s=PAGE_TIMEOUTS * self.timeout,
+            timeout_s=PAGE_TIMEOUT_FACTOR * self.timeout,
             retry_for_s=PAGE_RETRY_S,
         )
         status, answer = self._call(request)
@@ -146,16 +145,16 @@
         return Page(*_parse(protocol.parse_items, answer))
 
     def changes(self, prefix: str, revision: int, wait_s: float, kind: str) -> Changes | None:
-        """What has changed under a prefix since a revision.
+        """Return the changes to keys with a prefix since a revision; None if the store no longer keeps that revision.
 
-        Waits for up to `wait_s` until there is something. None if the store doesn't know that revision any more.
+        Waits up to `wait_s` seconds for a change.
         """
         request = _Request(
             "GET",
             protocol.changes_path(prefix, revision, int(wait_s * 1000)),
             RequestKind(kind),
             timeout_s=wait_s + self.timeout,
-            retry_for_s=0.0 if wait_s else self._retry_s,
+            retry_for_s=0.0 if wait_s else self._retry_for_s,
         )
         status, answer = self._call(request)
         if status == GONE:
@@ -164,24 +163,24 @@
         return Changes(*_parse(protocol.parse_changes, answer, (protocol.InvalidMessageError, KeyError, TypeError)))
 
     def grant_lease(self, seconds: float) -> int:
-        """A new lease of that length; returns its number."""
-        status, answer = self._lease_call(protocol.PATH_LEASES, protocol.lease_request(seconds))
+        """Have a new lease of that length granted; return its number."""
+        status, answer = self._call_lease(protocol.PATH_LEASES, protocol.lease_request(seconds))
         _expect_ok(status)
         return _parse(protocol.parse_lease, answer)
 
     def extend_lease(self, lease: int) -> bool:
-        """Have a lease begin anew; False if it has ended."""
-        status, _ = self._lease_call(protocol.lease_path(lease, "/extend"), None)
+        """Renew a lease for its full length; return False if it has ended."""
+        status, _ = self._call_lease(protocol.lease_path(lease, "/extend"), None)
         if status == NOT_FOUND:
             return False
         _expect_ok(status)
         return True
 
-    def _lease_call(self, path: str, body: Any) -> tuple[int, Any]:
-        return self._call(_Request("POST", path, RequestKind.LEASE, body, retry_for_s=self._retry_s))
+    def _call_lease(self, path: str, body: Any) -> tuple[int, Any]:
+        return self._call(_Request("POST", path, RequestKind.LEASE, body, retry_for_s=self._retry_for_s))
 
     def _call(self, request: _Request) -> tuple[int, Any]:
-        """The status and the answer; for `retry_for_s` a request that was not sent or refused is tried again."""
+        """Return the status and the answer; retry for `request.retry_for_s` while over budget or rate-limited."""
         deadline = time.monotonic() + request.retry_for_s
         if request.kind == RequestKind.SUBMIT and not self._budget.take_submissions(request.writes):
             raise OverBudgetError
@@ -190,7 +189,7 @@
                 status, answer = self._send(request)
                 if status != TOO_MANY_REQUESTS:
                     break
-                self._budget.record_rate_refusal()
+                self._budget.record_rate_limited()
             if time.monotonic() >= deadline:
                 raise OverBudgetError
             time.sleep(self._budget.retry_pause_s())
@@ -217,7 +216,7 @@
     answer: Any,
     malformed: tuple[type[Exception], ...] = (protocol.InvalidMessageError,),
 ) -> Parsed:
-    """Read an answer; one that can't be read leaves the outcome unknown."""
+    """Parse an answer. Raises OutcomeUnknownError if it is malformed."""
     try:
         return parse(answer)
     except malformed as error:
@@ -225,13 +224,13 @@
 
 
 def _transaction_error(status: int, answer: Any, writes: int) -> Exception:
-    """What a transaction's status means."""
+    """Return the exception for the status of a failed transaction."""
     if status == CONFLICT:
         return ConflictError([str(key) for key in (answer or {}).get("failed", [])])
     if status == BAD_REQUEST and isinstance(answer, dict) and answer.get("error") == "no such lease":
         return LeaseNotFoundError()
     if status == BAD_REQUEST:
-        log.error("key-value store: a transaction of %d changes is refused: %s", writes, answer)
+        log.error("key-value store rejected a transaction of %d writes: %s", writes, answer)
         return TransactionTooLargeError()
-    log.error("key-value store: unexpected %s to a transaction: %s", status, answer)
+    log.error("key-value store answered a transaction with unexpected status %s: %s", status, answer)
     return OutcomeUnknownError(f"unexpected status {status}")
--- a/tidebend/kvclient/errors.py
+++ b/tidebend/kvclient/errors.py
@@ -1,44 +1,44 @@
-"""How a request to the key-value store can fail, and what is known then."""
+"""Errors of requests to the key-value store. Each says whether the request may have been executed."""
 
 from __future__ import annotations
 
 
 class KeyValueError(Exception):
-    """A request failed; the subclasses say whether it may have been executed."""
+    """Base class: a request failed."""
 
 
 class NotExecutedError(KeyValueError):
-    """Not executed: refused, over budget, or no connection."""
+    """The request was not executed: it was refused or over budget, or there was no connection."""
 
 
 class OverBudgetError(NotExecutedError):
-    """Not executed: our own share of the store's requests or changes is used up for now."""
+    """The request was not sent: this controller's budget of requests or writes is used up at the moment."""
 
     def __init__(self) -> None:
-        """The text is the same for all kinds of requests."""
+        """The message is the same for all kinds of requests."""
         super().__init__("over budget")
 
 
 class TransactionTooLargeError(NotExecutedError):
-    """Not executed, and not to be sent again as it is: a value or the whole is larger than the store takes now."""
+    """The transaction was not executed and must not be retried unchanged: it exceeds the store's size limits."""
 
     def __init__(self) -> None:
-        """The store doesn't say which of its limits was exceeded."""
-        super().__init__("refused by its size")
+        """The store doesn't report whether a value or the whole transaction is too large."""
+        super().__init__("the transaction exceeds the size limits of the key-value store")
 
 
 class OutcomeUnknownError(KeyValueError):
-    """May have been executed, or may be later."""
+    """The request may have been executed, or may be executed later."""
 
 
 class ConflictError(KeyValueError):
-    """Not executed: a condition failed, since a key has another version than was expected."""
+    """The transaction was not executed: a key doesn't have the expected version."""
 
     def __init__(self, keys: list[str]) -> None:
-        """`keys`: those whose conditions failed."""
+        """`keys`: keys whose conditions failed."""
         super().__init__(", ".join(keys))
         self.keys = keys
 
 
 class LeaseNotFoundError(KeyValueError):
-    """Not executed: the request named a lease that has ended."""
+    """The request was not executed: it names a lease that has ended."""
--- a/tidebend/kvclient/keys.py
+++ b/tidebend/kvclient/keys.py
@@ -1,6 +1,7 @@
-"""The prefixes of our keys in the store.
+"""Key prefixes in the store.
 
-Everything of ours is watched; only what is live is read at the start, so that a long past costs nothing.
+All keys under PREFIX are watched. Only keys under LIVE are read at startup, so that startup time doesn't depend on the
+number of final states.
 """
 
 from __future__ import annotations
--- a/tidebend/kvclient/read_barrier.py
+++ b/tidebend/kvclient/read_barrier.py
@@ -1,4 +1,4 @@
-"""Reads on demand that are shared by all who wait for one."""
+"""A read barrier: reads on demand, each shared by all threads that wait for one."""
 
 from __future__ import annotations
 
@@ -13,39 +13,43 @@
 
 log = logging.getLogger("kvclient")
 
-# after so many reads in a row that failed, polls are read for as claims are
+# After this number of consecutive failed reads, reads for polls are made with the kind CLAIM.
 MAX_FAILED_READS = 3
 
 
 class ReadBarrier:
-    """Makes reads one at a time, each for all who wait when it begins.
+    """Makes one read at a time, for all threads that wait when it begins.
 
-    What only polls wait for begins no sooner than a pause after the last read, and joins all that come meanwhile.
-    Guards against users who ask often: each poll's read went off by itself, and together they took what the store has
-    for leases, claims and submissions.
+    A read that only polls wait for begins no sooner than an interval after the last read began, and serves all polls
+    that arrive until then. With a read for each poll, frequent polls would use up the store's rate limit, which leases,
+    claims and submissions need.
     """
 
     def __init__(self, read: Callable[[RequestKind], None], poll_read_interval_s: Callable[[], float]) -> None:
-        """`read` makes one read and raises as the client does; `poll_read_interval_s`: between reads for polls."""
+        """`read` makes one read and raises the errors of the client.
+
+        `poll_read_interval_s` returns the interval between reads that serve only polls.
+        """
         self._read = read
         self._poll_read_interval_s = poll_read_interval_s
         self._changed = threading.Condition()
-        # numbers of reads, under the condition's lock: wanted by those who wait, begun last, ended last either way
-        self._wanted = self._begun = self._succeeded = self._failed = 0
-        self._kind = RequestKind.POLL  # the best of the kinds that wait for the next read
-        # used by the reading thread alone
-        self._next_poll_at = NEVER  # steady time from which a read for polls alone may begin
-        self._failed_in_a_row = 0
+        # Sequence numbers of reads, guarded by the condition's lock: the last one that was requested, begun, completed
+        # successfully, and failed.
+        self._requested = self._begun = self._succeeded = self._failed = 0
+        self._kind = RequestKind.POLL  # kind with the highest priority among those waiting for the next read
+        # The following are used only by the reading thread.
+        self._next_poll_at = NEVER  # monotonic time from which a read for polls only may begin
+        self._consecutive_failures = 0
 
     def wait(self, timeout: float, kind: str = RequestKind.POLL) -> bool:
-        """Wait until a read that began after this call has ended; False if it failed or `timeout` seconds passed."""
+        """Wait for a read that begins after this call; return False if it fails or after `timeout` seconds."""
         deadline = time.monotonic() + timeout
-        wanted_kind = RequestKind(kind)
+        requested_kind = RequestKind(kind)
         with self._changed:
             number = self._begun + 1
-            self._wanted = max(self._wanted, number)
-            if BUDGET_FLOORS[wanted_kind] < BUDGET_FLOORS[self._kind]:
-                self._kind = wanted_kind
+            self._requested = max(self._requested, number)
+            if BUDGET_FLOORS[requested_kind] < BUDGET_FLOORS[self._kind]:
+                self._kind = requested_kind
             self._changed.notify_all()
             while self._succeeded < number and self._failed < number:
                 left = deadline - time.monotonic()
@@ -54,18 +58,18 @@
             return self._succeeded >= number
 
     def run(self) -> None:
-        """Make the reads that are wanted, for ever."""
+        """Make the requested reads in an endless loop."""
         while True:
             number, kind = self._begin()
             self._next_poll_at = time.monotonic() + self._poll_read_interval_s()
-            if kind == RequestKind.POLL and self._failed_in_a_row >= MAX_FAILED_READS:
-                kind = RequestKind.CLAIM  # guards against polls that wait behind claims for as long as these go on
-            self._end(number, self._try_read(kind))
+            if kind == RequestKind.POLL and self._consecutive_failures >= MAX_FAILED_READS:
+                kind = RequestKind.CLAIM  # otherwise polls could starve behind a steady load of claims
+            self._finish(number, self._try_read(kind))
 
     def _begin(self) -> tuple[int, RequestKind]:
-        """Wait until a read is wanted and may begin; its number and kind."""
+        """Wait until a read is requested and may begin; return its sequence number and kind."""
         with self._changed:
-            while self._wanted <= self._begun:
+            while self._requested <= self._begun:
                 self._changed.wait()
             while self._kind == RequestKind.POLL and (left := self._next_poll_at - time.monotonic()) > 0:
                 self._changed.wait(left)
@@ -77,12 +81,12 @@
         try:
             self._read(kind)
         except (NotExecutedError, OutcomeUnknownError) as error:
-            log.debug("barrier: %s", error)
+            log.debug("read for a barrier failed: %s", error)
             return False
         return True
 
-    def _end(self, number: int, succeeded: bool) -> None:
-        self._failed_in_a_row = 0 if succeeded else self._failed_in_a_row + 1
+    def _finish(self, number: int, succeeded: bool) -> None:
+        self._consecutive_failures = 0 if succeeded else self._consecutive_failures + 1
         with self._changed:
             if succeeded:
                 self._succeeded = number
--- a/tidebend/kvclient/request_kinds.py
+++ b/tidebend/kvclient/request_kinds.py
@@ -1,4 +1,4 @@
-"""Kinds of requests to the key-value store, and how much of the request budget each must leave over."""
+"""Kinds of requests to the key-value store, and the part of the request budget that each must leave unused."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class RequestKind(StrEnum):
-    """What a request is for. Members are their strings, which callers may use as well."""
+    """Purpose of a request. Members are strings, and callers may pass plain strings instead."""
 
-    LEASE = "lease"  # our own lease and what hangs on it: never held back
+    LEASE = "lease"  # this controller's lease and the records attached to it; never held back
     SUBMIT = "submit"  # a user's submission
     CLAIM = "claim"  # records of allocations and completions, and the reads before and after them
     POLL = "poll"  # reads for users' polls
 
 
-# The share of a second's budget that must be left after a request of each kind. Submissions are few, and their users
-# wait for them: they find room when claims don't, which may be late by a moment; polls come last.
+# Share of one second's budget that must be left after a request of each kind. Submissions are few and users wait for
+# them, so they have priority over claims, which tolerate a short delay; polls have the lowest priority.
 BUDGET_FLOORS = {
     RequestKind.LEASE: -1.0,
     RequestKind.SUBMIT: 0.0,
--- a/tidebend/kvclient/results.py
+++ b/tidebend/kvclient/results.py
@@ -1,14 +1,14 @@
-"""What the store's requests return, as tuples with names."""
+"""Results of requests to the key-value store, as named tuples."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-Row = tuple[str, Any, int]  # key, value, version; in a list of changes a value of None is a deletion
+Row = tuple[str, Any, int]  # key, value, version; in a list of changes, a value of None means that the key was deleted
 
 
 class VersionedValue(NamedTuple):
-    """A key's value, and the revision that wrote it."""
+    """A key's value and its version, which is the revision that wrote it."""
 
     value: Any
     version: int
@@ -18,15 +18,15 @@
 
 
 class Page(NamedTuple):
-    """Some of the keys under a prefix, in their order."""
+    """Some of the keys with a prefix, in key order."""
 
     rows: list[Row]
     has_more: bool
-    revision: int  # as of which they were read
+    revision: int  # revision at which the page was read
 
 
 class Changes(NamedTuple):
-    """What has changed under a prefix."""
+    """Changes to the keys with a prefix."""
 
     rows: list[Row]
-    revision: int  # up to which these are all changes
+    revision: int  # the rows are all changes up to this revision
--- a/tidebend/kvclient/snapshot.py
+++ b/tidebend/kvclient/snapshot.py
@@ -1,4 +1,4 @@
-"""Reading all live keys as of one revision."""
+"""A consistent read of all live keys at one revision."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 @dataclass
 class Snapshot:
-    """All live keys as of a revision, and the finals that were written while they were read."""
+    """All live keys at a revision, and the final states that were written during the read."""
 
     revision: int
     items: dict[str, VersionedValue] = field(default_factory=dict)
     finals: list[Row] = field(default_factory=list)
 
     def apply(self, changes: list[Row], revision: int) -> None:
-        """Take over what has changed up to a later revision."""
+        """Apply the changes up to a later revision."""
         self.revision = revision
         for key, value, version in changes:
             if key.startswith(FINAL):
@@ -32,10 +32,10 @@
 
 
 def read_snapshot(client: KeyValueClient) -> Snapshot:
-    """Read everything, as of one revision; raises as the client does.
+    """Read all live keys at one revision. Raises the errors of the client.
 
-    Pages are read one after the other, and the store moves on between them: what has changed since the first is read as
-    well before any of it is used, so that a team's record is never seen without its jobs'.
+    The store may change between the reads of two pages. Therefore the changes since the first page are also read and
+    applied, so that a team's record is never seen without the records of its jobs.
     """
     page, has_more, revision = client.items(LIVE, None)
     snapshot = Snapshot(revision, _by_key(page))
@@ -47,7 +47,7 @@
     if is_paged:
         result = client.changes(PREFIX, snapshot.revision, 0.0, RequestKind.CLAIM)
         if result is None:
-            raise NotExecutedError("the store moves on faster than it can be read")
+            raise NotExecutedError("the store discarded changes before the snapshot was complete")
         snapshot.apply(*result)
     return snapshot
 
--- a/tidebend/kvclient/steady_time.py
+++ b/tidebend/kvclient/steady_time.py
@@ -1,6 +1,6 @@
-"""Steady times: seconds of `time.monotonic()`."""
+"""Monotonic time, in seconds of `time.monotonic()`."""
 
 from __future__ import annotations
 
-# before anything that has happened; finite, so that ages counted from it can be sent
+# Earlier than any event; finite, so that ages calculated from it can be encoded.
 NEVER = -1e9
--- a/tidebend/kvclient/tombstones.py
+++ b/tidebend/kvclient/tombstones.py
@@ -1,4 +1,4 @@
-"""Deleted keys, remembered for as long as an answer that is older than the deletion may still come."""
+"""Tombstones of deleted keys, kept as long as an answer older than the deletion may still arrive."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Tombstone(NamedTuple):
-    """A key's deletion: its version, and the steady time at which it was taken over."""
+    """A key's deletion: its version, and the monotonic time at which it was applied."""
 
     version: int
     deleted_at: float
@@ -19,47 +19,47 @@
 
 
 class Tombstones:
-    """Tombstones, and the requests under way that they are kept for; to be used under the cache's lock."""
+    """Tombstones, and the pending requests that need them. Must be used under the cache's lock."""
 
     def __init__(self) -> None:
-        """Neither tombstones nor requests at first."""
-        self._tombstones: OrderedDict[str, Tombstone] = OrderedDict()  # the oldest first
-        self._requests_under_way: dict[object, float] = {}  # request -> steady time at which it began
+        """Initially there are neither tombstones nor pending requests."""
+        self._tombstones: OrderedDict[str, Tombstone] = OrderedDict()  # oldest first
+        self._pending_requests: dict[object, float] = {}  # request -> monotonic time at which it began
 
     def __len__(self) -> int:
-        """How many tombstones there are."""
+        """Return the number of tombstones."""
         return len(self._tombstones)
 
     def version(self, key: str) -> int:
-        """The version of the key's deletion; 0 if there is no tombstone."""
+        """Return the version of the key's deletion; 0 without a tombstone."""
         return self._tombstones.get(key, NO_TOMBSTONE).version
 
     def record(self, key: str, version: int) -> None:
-        """The key was deleted with that version."""
+        """Add a tombstone for a key that was deleted with that version."""
         self._tombstones[key] = Tombstone(version, time.monotonic())
         self._tombstones.move_to_end(key)
 
     def discard(self, key: str) -> None:
-        """The key is there again."""
+        """Remove the tombstone of a key that exists again."""
         self._tombstones.pop(key, None)
 
     def begin_request(self) -> object:
-        """A request begins now whose answer will be taken over; returns its handle."""
+        """Register a request that begins now and whose answer will be applied; return its handle."""
         request = object()
-        self._requests_under_way[request] = time.monotonic()
+        self._pending_requests[request] = time.monotonic()
         return request
 
     def end_request(self, request: object) -> None:
-        """A request's answer has been taken over, or won't come."""
-        del self._requests_under_way[request]
+        """Unregister a request whose answer was applied or will never be."""
+        del self._pending_requests[request]
 
     def prune(self) -> None:
-        """Forget deletions that no answer can undo any more.
+        """Remove the tombstones that no pending answer can conflict with.
 
-        An answer is older than a deletion only if its request was under way when the deletion was taken over. So what
-        is kept is bounded by what is deleted while one request lasts, not by a number.
+        An answer is older than a deletion only if its request was pending when the deletion was applied. So the number
+        of tombstones is bounded by the deletions during one request, not by a constant.
         """
-        oldest_request = min(self._requests_under_way.values(), default=math.inf)
+        oldest_request = min(self._pending_requests.values(), default=math.inf)
         while self._tombstones:
             key = next(iter(self._tombstones))
             if self._tombstones[key].deleted_at >= oldest_request:
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -1,4 +1,4 @@
-"""A cache of the live keys that knows how old it is."""
+"""A watch cache of the live keys that tracks its staleness."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 
 
 class WatchCache:
-    """A cache of every key under LIVE, fed by a watch and by reads on demand; finals are only passed on.
+    """A cache of all keys under LIVE, updated by a watch and by reads on demand.
 
-    `on_change(key, value, version)` is called under `lock`, for each newer version once; a value of None is a deletion.
+    `on_change(key, value, version)` is called under `lock`, once for each newer version of a key; a value of None is a
+    deletion. It is also called for keys under FINAL, which aren't cached.
     """
 
     def __init__(
@@ -38,51 +39,51 @@
         watch_s: float,
         retry_pause_s: float,
     ) -> None:
-        """`watch_s`: for so long a watch waits; `retry_pause_s`: from a failed one to the next, give or take half."""
+        """`watch_s`: maximum wait of a watch; `retry_pause_s`: mean pause after a failed one, +/- 50% at random."""
         self.client = client
         self.lock = lock
-        self.loaded = threading.Event()  # set once everything has been read
-        self.watched = NEVER  # steady time at which the watch last brought an answer
-        # Steady time at which the last completed read began: what was confirmed to anybody before that is in the cache,
-        # what came later need not be. Nothing else makes the cache younger: not a renewed lease, not a write of ours,
-        # not a watch that still waits, which proves no more than what it began with.
+        self.loaded = threading.Event()  # set after the first complete read
+        self.watched = NEVER  # monotonic time of the watch's last answer
+        # Monotonic time at which the last completed read began. The cache contains every write that was confirmed to
+        # any client before this time, but not necessarily later ones. Nothing else makes the cache fresher: not a
+        # renewed lease, not a write by this controller, not a watch that is still waiting.
         self.as_of = NEVER
         self.watch_s = watch_s
         self._on_change = on_change
         self._retry_pause_s = retry_pause_s
         self._items: dict[str, VersionedValue] = {}
         self._tombstones = Tombstones()
-        self._revision = 0  # up to which all changes are in the cache
+        self._revision = 0  # the cache contains all changes up to this revision
         self.read_barrier = ReadBarrier(lambda kind: self.catch_up(0.0, kind), lambda: self.client.poll_read_interval_s)
 
     def start(self) -> None:
-        """Start the threads that watch and that read on demand."""
+        """Start the watch thread and the thread for reads on demand."""
         threading.Thread(target=self._watch, name="watch", daemon=True).start()
         threading.Thread(target=self.read_barrier.run, name="barrier", daemon=True).start()
 
     @property
     def revision(self) -> int:
-        """The revision of the key-value store as of which the cache has been read."""
+        """The revision of the key-value store up to which the cache contains all changes."""
         with self.lock:
             return self._revision
 
     @property
     def age_s(self) -> float:
-        """How long ago the last completed read began: the staleness of the cache."""
+        """Staleness of the cache: seconds since the last completed read began."""
         return time.monotonic() - self.as_of
 
     def get(self, key: str) -> VersionedValue:
-        """The value and its version, ABSENT if there is no such key."""
+        """Return the value and its version; ABSENT if the key doesn't exist."""
         with self.lock:
             return self._items.get(key, ABSENT)
 
     def get_by_prefix(self, prefix: str) -> dict[str, VersionedValue]:
-        """The values and versions of all keys with a prefix; looks at each key of the cache."""
+        """Return the values and versions of all keys with a prefix. Scans the whole cache."""
         with self.lock:
             return {key: item for key, item in self._items.items() if key.startswith(prefix)}
 
     def apply(self, rows: Iterable[Row]) -> None:
-        """Take over changes; older ones than those known are dropped, in whatever order they come."""
+        """Apply changes in any order; those that aren't newer than the cached versions are ignored."""
         with self.lock:
             for key, value, version in rows:
                 if key.startswith(FINAL) or self._update_item(key, value, version):
@@ -90,12 +91,12 @@
             self._tombstones.prune()
 
     def _update_item(self, key: str, value: Any, version: int) -> bool:
-        """Take over one change, under the lock; False if it is no newer than what is known."""
+        """Apply one change, under the lock; return False if it isn't newer than the cached version."""
         if version <= self._items.get(key, ABSENT).version or version <= self._tombstones.version(key):
             return False
         if value is None:
             self._items.pop(key, None)
-            # guards against an answer that was under way while the key was deleted
+            # A pending answer may still contain the deleted key.
             self._tombstones.record(key, version)
         else:
             self._tombstones.discard(key)
@@ -103,8 +104,8 @@
         return True
 
     @contextlib.contextmanager
-    def _request_under_way(self) -> Iterator[None]:
-        """Keep the tombstones that the answer to a request begun now may need, until it is taken over."""
+    def _pending_request(self) -> Iterator[None]:
+        """Keep the tombstones that the answer to a request begun now may need, until it is applied."""
         with self.lock:
             request = self._tombstones.begin_request()
         try:
@@ -120,21 +121,21 @@
         kind: str = RequestKind.CLAIM,
         retry_for_s: float = DEFAULT_WRITE_RETRY_S,
     ) -> int:
-        """Change the records, then the cache by the same changes; raises as `KeyValueClient.transact` does."""
-        with self._request_under_way():
+        """Execute a transaction and apply its writes to the cache. Raises the errors of `KeyValueClient.transact`."""
+        with self._pending_request():
             revision = self.client.transact(conditions, writes, kind, retry_for_s)
             with self.lock:
-                # Guards against an answer that a read has overtaken: the cache has this change already, and what has
-                # become of it since. A snapshot names no deletions, so that a job that was over by then came back for
-                # good.
+                # A read may have overtaken this answer; then the cache already contains these writes and what followed
+                # them. Since a snapshot contains no deletions, applying them again would permanently restore the record
+                # of a job that has ended and been deleted in between.
                 if revision > self._revision:
                     self.apply([(key, value, revision) for key, value, _ in writes])
         return revision
 
     def catch_up(self, wait_s: float, kind: str) -> None:
-        """Bring the cache up to a read begun now, which waits for changes for so long; raises as the client does."""
+        """Update the cache with a read that waits up to `wait_s` for changes. Raises the errors of the client."""
         began = time.monotonic()
-        with self._request_under_way():
+        with self._pending_request():
             with self.lock:
                 revision = self._revision
             result = self.client.changes(PREFIX, revision, wait_s, kind) if self.loaded.is_set() else None
@@ -150,7 +151,7 @@
             self.as_of = max(self.as_of, began)
 
     def _load(self) -> None:
-        """Read everything, and drop what isn't there any more."""
+        """Replace the content of the cache with a snapshot."""
         snapshot = read_snapshot(self.client)
         with self.lock:
             self.apply(self._changes_to(snapshot))
@@ -158,7 +159,7 @@
         self.loaded.set()
 
     def _changes_to(self, snapshot: Snapshot) -> list[Row]:
-        """The changes from the cache to a snapshot; called under the lock."""
+        """Return the changes that turn the cache into a snapshot; called under the lock."""
         present = [(key, value, version) for key, (value, version) in snapshot.items.items()]
         deleted = [
             (key, None, snapshot.revision)
@@ -174,12 +175,12 @@
                 self.watched = time.monotonic()
                 time.sleep(self.client.watch_pause_s)
             except (NotExecutedError, OutcomeUnknownError) as error:
-                log.info("watch: %s", error)
+                log.info("watch failed: %s", error)
                 time.sleep(random.uniform(0.5, 1.5) * self._retry_pause_s)
 
     def barrier(self, timeout: float, kind: str = RequestKind.POLL) -> bool:
-        """Bring the cache up to a read begun after this call; False if it failed or `timeout` seconds passed.
+        """Update the cache with a read that begins after this call.
 
-        Reads are shared by those who wait.
+        Threads that wait at the same time share one read. Returns False if it fails or after `timeout` seconds.
         """
         return self.read_barrier.wait(timeout, kind)
