--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -45,9 +45,9 @@
 
     def set_limits(self, limits: StoreLimits) -> None:
         """Change the limits of the store."""
-        self._requests.change(limits.rps * self._share)
-        self._writes.change(limits.write_rps * self._share)
-        self._submissions.change(SUBMIT_SHARE * self.writes_per_s)
+        self._requests.set_rate(limits.rps * self._share)
+        self._writes.set_rate(limits.write_rps * self._share)
+        self._submissions.set_rate(SUBMIT_SHARE * self.writes_per_s)
         self._set_intervals(limits)
 
     def _set_intervals(self, limits: StoreLimits) -> None:
@@ -80,7 +80,7 @@
             return False
         if not writes or self._writes.take(writes, floor):
             return True
-        self._requests.give_back(1.0)
+        self._requests.put_back(1.0)
         return False
 
     def record_rate_limited(self) -> None:
--- a/tidebend/transport/__init__.py
+++ b/tidebend/transport/__init__.py
@@ -1,8 +1,8 @@
 """HTTP and framed CBOR over blocking sockets: servers, clients, timeouts and rate limits.
 
-`Server` accepts connections; `ConnectionCount` bounds them, `ConnectionThreads` serves them, `IdleConnections` watches
-those that wait for their next request, and `Handler` reads and answers requests. `HttpClient` is the other side.
-`FrameServer`, `send_frame` and `receive_frame` are for controllers among themselves.
+`Server` accepts connections; `ConnectionCount` limits their number, `ConnectionThreads` serves them, `IdleConnections`
+watches those that wait for their next request, and `Handler` reads and answers requests. `HttpClient` is the client.
+`FrameServer`, `send_frame` and `receive_frame` are used between controllers.
 """
 
 from tidebend.transport.client import HttpClient, NoAnswerError, UnreachableError
--- a/tidebend/transport/client.py
+++ b/tidebend/transport/client.py
@@ -1,4 +1,4 @@
-"""HTTP requests over keep-alive connections."""
+"""An HTTP client with keep-alive connections."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 
 class UnreachableError(Exception):
-    """The request was certainly not executed: no connection came about."""
+    """No connection could be established; the request was certainly not executed."""
 
 
 class NoAnswerError(Exception):
-    """There was no usable answer: the request may have been executed, or may be later."""
+    """There was no valid answer: the request may have been executed, or may be executed later."""
 
 
 class HttpClient:
-    """Keep-alive connections to one address; safe for use by several threads.
+    """Keep-alive connections to one address. Safe for use by several threads.
 
-    A request is sent once and never repeated here: whether that is safe is for the caller to know. Subclasses may
-    replace `_connection` and `_headers`.
+    Each request is sent once and never retried: only the caller knows whether a retry is safe. Subclasses may override
+    `_connection` and `_headers`.
     """
 
     def __init__(self, address: tuple[str, int], max_idle: int = 4) -> None:
-        """`max_idle`: so many connections are kept for later requests; more are closed after their answer."""
+        """`max_idle`: maximum number of idle connections that are kept for later requests."""
         self.address = address
         self._max_idle = max_idle
         self._idle: list[http.client.HTTPConnection] = []
         self._lock = threading.Lock()
 
     def _connection(self, timeout: float) -> http.client.HTTPConnection:
-        """A connection that isn't open yet."""
+        """Return a connection that isn't open yet."""
         return http.client.HTTPConnection(*self.address, timeout=timeout)
 
     def _headers(self, with_body: bool) -> dict[str, str]:
-        """The headers of each request."""
+        """Return the headers of a request."""
         return {"Content-Type": "application/json"} if with_body else {}
 
     def request(self, method: str, path: str, body: Any = None, timeout: float = 2.0) -> tuple[int, Any]:
-        """The status and the decoded JSON of the answer; `body` is sent as JSON unless it is None.
+        """Send a request; return the status and the decoded JSON body of the answer.
 
-        `timeout` in seconds is for each step: to connect, to send, and each read. Raises UnreachableError or
-        NoAnswerError.
+        `body` is sent as JSON unless it is None. `timeout`, in seconds, applies separately to connecting, sending and
+        each read. Raises UnreachableError or NoAnswerError.
         """
         connection = self._take_connection(timeout)
         data = None if body is None else json.dumps(body, separators=(",", ":")).encode()
@@ -63,7 +63,7 @@
         return status, answer
 
     def _take_connection(self, timeout: float) -> http.client.HTTPConnection:
-        """An idle connection, or a new one. Raises UnreachableError."""
+        """Return an idle connection or a new one. Raises UnreachableError."""
         with self._lock:
             idle = self._idle.pop() if self._idle else None
         if idle is not None:
@@ -86,7 +86,7 @@
         connection.close()
 
     def close(self) -> None:
-        """Close the connections that are idle."""
+        """Close the idle connections."""
         with self._lock:
             idle, self._idle = self._idle, []
         for connection in idle:
--- a/tidebend/transport/connection_count.py
+++ b/tidebend/transport/connection_count.py
@@ -1,4 +1,4 @@
-"""The number of open connections, bounded, with a warning in the log while it is close to its bound."""
+"""A limited count of open connections, with a log warning when it is close to the limit."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 log = logging.getLogger("transport")
 
-# From this share of the most connections on, those that can do without theirs are closed after their answer.
-CROWDED_FROM = 0.9
-# Below this share the log says that it is over: far enough below, so that it doesn't say so again and again.
-RELAXED_BELOW = 0.5
+# From this fraction of the limit on, connections whose replies permit it are closed after the reply.
+CROWDED_FRACTION = 0.9
+# Below this fraction of the limit, the log reports the end of the shortage. The hysteresis prevents repeated messages.
+RELAXED_FRACTION = 0.5
 
 
 class ConnectionCount:
-    """Counts open connections up to `most`. Safe for use by several threads."""
+    """Counts open connections up to a limit. Safe for use by several threads."""
 
-    def __init__(self, most: int) -> None:
-        """`most`: connections that may be open at a time."""
-        self.most = most
+    def __init__(self, max_connections: int) -> None:
+        """`max_connections`: maximum number of open connections."""
+        self.max_connections = max_connections
         self._open = 0
-        self._refused = 0  # since the log said that it is crowded
-        self._warned = False  # whether the log says that it is crowded
+        self._refused = 0  # refused connections since the warning
+        self._warned = False  # whether the log has warned of the current shortage
         self._lock = threading.Lock()
 
     @property
     def open(self) -> int:
-        """How many are open."""
+        """Number of open connections."""
         return self._open
 
     @property
     def crowded(self) -> bool:
-        """Whether connections are scarce."""
-        return self._open >= CROWDED_FROM * self.most
+        """Whether the number of open connections is close to the limit."""
+        return self._open >= CROWDED_FRACTION * self.max_connections
 
-    def enter(self) -> bool:
-        """Count a new connection; False if it has to be refused."""
+    def acquire(self) -> bool:
+        """Count a new connection; return False if it must be refused."""
         with self._lock:
-            accepted = self._open < self.most
+            accepted = self._open < self.max_connections
             if accepted:
                 self._open += 1
             else:
@@ -45,16 +45,20 @@
             warned = self._warned
             self._warned = warned or self.crowded
         if self._warned and not warned:
-            log.warning("%d of %d connections are in use: answers to workers end theirs", self._open, self.most)
+            log.warning(
+                "%d of %d connections are open: closing workers' connections after each reply",
+                self._open,
+                self.max_connections,
+            )
         return accepted
 
-    def leave(self) -> None:
-        """Count a connection that was closed."""
+    def release(self) -> None:
+        """Stop counting a connection that was closed."""
         with self._lock:
             self._open -= 1
-            relaxed = self._warned and self._open < RELAXED_BELOW * self.most
+            has_relaxed = self._warned and self._open < RELAXED_FRACTION * self.max_connections
             refused = self._refused
-            if relaxed:
+            if has_relaxed:
                 self._warned, self._refused = False, 0
-        if relaxed:
-            log.warning("connections are no longer short; %d were refused meanwhile", refused)
+        if has_relaxed:
+            log.warning("the shortage of connections has ended; %d were refused", refused)
--- a/tidebend/transport/frames.py
+++ b/tidebend/transport/frames.py
@@ -1,4 +1,4 @@
-"""Frames between controllers: a length of four bytes, then so many bytes of CBOR."""
+"""Frames between controllers: a length of four bytes, followed by that number of bytes of CBOR."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
 
 log = logging.getLogger("transport")
 
-# Bytes of a frame without its length. A longer one isn't read: its sender is no controller of ours.
+# Maximum size of a frame in bytes, without the length. A longer frame is rejected: no controller sends one.
 MAX_FRAME = 1024 * 1024
 READ_BYTES = 65536
 LENGTH = struct.Struct("!I")
 
 
 def _receive(stream: socket.socket, length: int) -> bytes:
-    """Exactly so many bytes."""
+    """Return exactly `length` bytes."""
     data = bytearray()
     while len(data) < length:
-        part = stream.recv(min(READ_BYTES, length - len(data)))
-        if not part:
+        chunk = stream.recv(min(READ_BYTES, length - len(data)))
+        if not chunk:
             raise OSError("closed")
-        data += part
+        data += chunk
     return bytes(data)
 
 
 def receive_frame(stream: socket.socket) -> Any:
-    """The value of the next frame. Raises OSError for a broken connection, and for what is no frame of ours."""
+    """Return the value of the next frame. Raises OSError if the connection breaks or the frame is invalid."""
     (length,) = LENGTH.unpack(_receive(stream, LENGTH.size))
     if length > MAX_FRAME:
-        raise OSError("frame too long")
+        raise OSError("frame exceeds the size limit")
     try:
         return cbor2.loads(_receive(stream, length))
     except (cbor2.CBORDecodeError, ValueError) as error:
-        raise OSError("not CBOR") from error
+        raise OSError("frame is not valid CBOR") from error
 
 
 def send_frame(stream: socket.socket, value: Any) -> None:
-    """Send a value as one frame. Raises OSError. The length isn't checked here: see `MAX_FRAME`."""
+    """Send a value as one frame. Raises OSError. Doesn't check the size against `MAX_FRAME`."""
     data = cbor2.dumps(value)
     stream.sendall(LENGTH.pack(len(data)) + data)
 
 
 class FrameServer(socketserver.ThreadingMixIn, socketserver.TCPServer):
-    """Receives frames from other controllers and acknowledges each, with a thread for each connection.
+    """Receives frames from other controllers and acknowledges each, with one thread per connection.
 
-    The acknowledgement guards against a connection that was lost in a network partition: without it a sender would
-    go on filling its send buffer for minutes as if its frames arrived.
+    Without the acknowledgement, a sender whose connection was lost in a network partition would continue to fill its
+    send buffer for minutes as if its frames arrived.
     """
 
     daemon_threads = True
@@ -61,7 +61,7 @@
     def __init__(self, address: tuple[str, int], receive: Callable[[Any], None], idle_timeout_s: float) -> None:
         """`receive` is called with each frame's value.
 
-        A connection is closed when no frame has come for `idle_timeout_s` seconds.
+        A connection is closed if no frame arrives for `idle_timeout_s` seconds.
         """
 
         class FrameHandler(socketserver.BaseRequestHandler):
@@ -77,5 +77,5 @@
         super().__init__(address, FrameHandler)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """A connection that fails is no error of this process."""
-        log.debug("peer connection of %s ended", client_address, exc_info=True)
+        """Log the failure of a connection at debug level: it isn't an error of this process."""
+        log.debug("peer connection from %s failed", client_address, exc_info=True)
--- a/tidebend/transport/replies.py
+++ b/tidebend/transport/replies.py
@@ -1,4 +1,4 @@
-"""What a server's route returns or raises: replies and errors."""
+"""Replies and errors that a server's route returns or raises."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class BadRequestError(Exception):
-    """The request can't be read; answered with 400 and the text."""
+    """The request is malformed; answered with status 400 and the error's message."""
 
 
 class Reply(Exception):  # noqa: N818 (most replies are returned; raising one only ends a route early)
-    """An answer to a request: a status, a body and headers. A route returns it or raises it."""
+    """A reply to a request: status, body and headers. A route returns or raises it."""
 
     def __init__(
         self,
@@ -24,10 +24,10 @@
         close_if_crowded: bool = False,
         close_connection: bool = False,
     ) -> None:
-        """`body` is sent as JSON, bytes as they are, None as an empty body.
+        """`body` is sent as JSON, except that bytes are sent unchanged and None as an empty body.
 
-        `close_if_crowded`: the connection is closed after the answer if the server is close to the most that it may
-        have. `close_connection`: it is closed in any case.
+        `close_if_crowded`: close the connection after the reply if the server is close to its limit of connections.
+        `close_connection`: always close it.
         """
         super().__init__(status)
         self.status = status
@@ -38,6 +38,6 @@
         self.close_connection = close_connection
 
 
-# Called with the method, the path with its query, and what reads the body; returns the reply or raises it, or raises
-# BadRequestError. The body is read only if the route asks for it.
+# Called with the method, the path with its query, and a function that reads the body; returns or raises a Reply, or
+# raises BadRequestError. The body is read only if the route calls the function.
 Route = Callable[[str, str, Callable[[], bytes]], Reply]
--- a/tidebend/transport/request_handler.py
+++ b/tidebend/transport/request_handler.py
@@ -1,4 +1,4 @@
-"""The requests of one connection: reads each, has it routed, and writes the answer."""
+"""Handler of one connection's requests: reads each, passes it to the route, and writes the reply."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = logging.getLogger("transport")
 
-# Bytes of a request's body. No request of ours comes near to it.
+# Maximum size of a request's body in bytes; far above that of any valid request.
 MAX_BODY = 64 * 1024
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Serves the requests of one connection, one after the other, with keep-alive.
+    """Serves the requests of one keep-alive connection sequentially.
 
-    Subclasses may replace `_dispatch` and `_body`.
+    Subclasses may override `_dispatch` and `_body`.
     """
 
     protocol_version = "HTTP/1.1"
@@ -32,32 +32,32 @@
     server: Server
 
     def setup(self) -> None:
-        """Give the socket the server's idle timeout."""
-        self.timeout = self.server.idle_timeout_s  # type: ignore[misc]  # the library reads it through the instance, too
+        """Apply the server's idle timeout to the socket."""
+        self.timeout = self.server.idle_timeout_s  # type: ignore[misc]  # the library reads it from the instance
         super().setup()
 
     def handle(self) -> None:
-        """Serve requests until the connection is to be closed, or may be parked: `close_connection` tells which."""
+        """Serve requests until the connection must be closed (`close_connection` is set) or may be parked."""
         self.close_connection = True
         self.handle_one_request()
         while not self.close_connection and not self._may_be_parked():
             self.handle_one_request()
 
     def _may_be_parked(self) -> bool:
-        """Whether threads are scarce and nothing of a next request is here, so that nothing is lost with `rfile`."""
+        """Return whether threads are scarce and no bytes were read ahead, which would be lost with `rfile`."""
         return self.server.threads_scarce and not self._has_bytes()
 
     def _has_bytes(self) -> bool:
-        """Whether a read would return without waiting.
+        """Return whether a read would return without blocking.
 
-        Asks through `rfile`, and thus through TLS: bytes that were decrypted or read ahead aren't seen by a selector.
+        Checks `rfile`, and thus also the TLS layer: a selector doesn't see bytes that were decrypted or read ahead.
         """
         self.connection.settimeout(0.0)
         try:
             return bool(cast(io.BufferedReader, self.rfile).peek(1))
-        except ssl.SSLWantReadError:  # at most a part of a record: a selector sees the rest of it come
+        except ssl.SSLWantReadError:  # at most part of a record has arrived; a selector sees the rest
             return False
-        except OSError:  # the next read finds it, too, and ends the connection
+        except OSError:  # the next read fails as well and ends the connection
             return True
         finally:
             self.connection.settimeout(self.server.idle_timeout_s)
@@ -65,7 +65,10 @@
     # Reading
 
     def _body(self) -> bytes:
-        """The request's body. Raises BadRequestError; the connection is closed then, since its rest is unknown."""
+        """Return the request's body.
+
+        Raises BadRequestError, and has the connection closed, since the start of the next request is then unknown.
+        """
         try:
             length = self._body_length()
             return self._read_body(length) if length is not None else b""
@@ -74,50 +77,50 @@
             raise
 
     def _body_length(self) -> int | None:
-        """The body's length as its header says; None without the header."""
+        """Return the length from the Content-Length header; None without the header."""
         if self.headers.get("Transfer-Encoding"):
-            raise BadRequestError("a body needs a Content-Length")
+            raise BadRequestError("Transfer-Encoding is not supported; send a Content-Length header")
         text = self.headers.get("Content-Length")
         if text is None:
             return None
         if not text.isascii() or not text.isdigit():
-            raise BadRequestError("Content-Length is not a number")
+            raise BadRequestError("Content-Length header is not a non-negative integer")
         length = int(text)
         if length > MAX_BODY:
-            raise BadRequestError("the body is longer than 64 KiB")
+            raise BadRequestError("request body is longer than 64 KiB")
         return length
 
     def _read_body(self, length: int) -> bytes:
-        # a sender that is slow with its body doesn't hold the thread for long
+        # A shorter timeout, so that a slow sender doesn't occupy the thread for long.
         self.connection.settimeout(self.server.body_timeout_s)
         data = self.rfile.read(length)
         self.connection.settimeout(self.server.idle_timeout_s)
         self._body_was_read = True
         if len(data) < length:
-            raise BadRequestError("the body is cut short")
+            raise BadRequestError("request body is shorter than its Content-Length")
         return data
 
-    # Answering
+    # Replying
 
     def _dispatch(self) -> Reply:
-        """The reply to the request; may also raise it."""
+        """Return or raise the reply to the request."""
         return self.server.route(self.command, self.path, self._body)
 
     def _answer(self) -> None:
-        """Answer one request. `close_connection` tells afterwards whether the connection is of further use."""
+        """Answer one request. Sets `close_connection` if the connection can't be used further."""
         self._body_was_read = False
         reply = self._reply()
         if reply is None:
             self.close_connection = True
             return
         if not self._body_was_read and self._announces_body():
-            self.close_connection = True  # what follows on the connection is a body nobody read
+            self.close_connection = True  # the unread body would be taken for the next request
         if reply.close_connection or (reply.close_if_crowded and self.server.crowded):
             self.close_connection = True
         self._write(reply)
 
     def _reply(self) -> Reply | None:
-        """What the route says, with errors turned into replies; None if the connection is broken."""
+        """Return the route's reply, with errors converted to replies; None if the connection is broken."""
         try:
             return self._dispatch()
         except BadRequestError as error:
@@ -127,14 +130,14 @@
         except OSError:
             return None
         except Exception:
-            log.exception("%s %s failed", self.command, self.path)
+            log.exception("unexpected error in request %s %s", self.command, self.path)
             return Reply(503, {"error": "internal"}, {"Retry-After": "1"})
 
     def _announces_body(self) -> bool:
         return self.headers.get("Content-Length", "0") != "0" or bool(self.headers.get("Transfer-Encoding"))
 
     def _write(self, reply: Reply) -> None:
-        """Write head and body in one piece."""
+        """Write head and body with one call."""
         data = _encode(reply.body)
         head = self._head(reply, len(data))
         try:
@@ -154,16 +157,16 @@
             lines.append("Connection: close")
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n"
 
-    # the names by which the library calls them
+    # The library calls these names.
     do_GET = do_POST = do_PUT = do_DELETE = do_PATCH = do_HEAD = do_OPTIONS = _answer  # noqa: N815
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Requests are logged at the level of debugging only: there are too many of them."""
+        """Log requests at debug level only, since there are many of them."""
         log.debug(format, *args)
 
 
 def _encode(body: Any) -> bytes:
-    """Bytes as they are, None as nothing, all else as JSON."""
+    """Return bytes unchanged, None as empty bytes, and any other value as JSON."""
     if isinstance(body, bytes):
         return body
     return b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
--- a/tidebend/transport/token_bucket.py
+++ b/tidebend/transport/token_bucket.py
@@ -1,4 +1,4 @@
-"""A limit on the rate of requests: a token bucket."""
+"""A rate limiter: a token bucket."""
 
 from __future__ import annotations
 
@@ -7,41 +7,41 @@
 
 
 class TokenBucket:
-    """A token bucket: it fills with `rate` tokens a second, up to `burst_s` seconds' worth, and is full at first.
+    """A token bucket. It is refilled with `rate` tokens per second up to `rate * burst_s` tokens, and starts full.
 
-    A request takes tokens or is refused at once; nothing waits here. Safe for use by several threads.
+    Methods never block: a request that doesn't find enough tokens is refused. Safe for use by several threads.
     """
 
     def __init__(self, rate: float, burst_s: float = 1.0) -> None:
-        """`rate` in tokens a second; `burst_s`: the bucket's size in seconds of its rate."""
+        """`rate`: tokens per second; `burst_s`: the bucket's capacity as seconds of the rate."""
         self.rate = rate
         self.burst_s = burst_s
         self._level = rate * burst_s
-        self._filled_at = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._lock = threading.Lock()
 
     def take(self, amount: float, floor: float = 0.0) -> bool:
-        """Take tokens, or none and return False if there aren't enough.
+        """Take tokens; if there aren't enough, take none and return False.
 
-        `floor`: so many seconds' worth must be left over. Less important requests have one, so that they don't take
-        the last tokens from the others.
+        `floor`: tokens that must be left over, as seconds of the rate. It is higher for less important requests, so
+        that they leave tokens for the others.
         """
         with self._lock:
             now = time.monotonic()
-            self._level = min(self.rate * self.burst_s, self._level + (now - self._filled_at) * self.rate)
-            self._filled_at = now
+            self._level = min(self.rate * self.burst_s, self._level + (now - self._refilled_at) * self.rate)
+            self._refilled_at = now
             if self._level - amount < floor * self.rate:
                 return False
             self._level -= amount
             return True
 
-    def give_back(self, amount: float) -> None:
-        """Put tokens back that were taken for a request that wasn't sent."""
+    def put_back(self, amount: float) -> None:
+        """Return tokens that were taken for a request that wasn't sent."""
         with self._lock:
             self._level = min(self.rate * self.burst_s, self._level + amount)
 
-    def change(self, rate: float) -> None:
-        """Set another rate; tokens beyond the new size are lost."""
+    def set_rate(self, rate: float) -> None:
+        """Change the rate; tokens beyond the new capacity are lost."""
         with self._lock:
             self.rate = rate
             self._level = min(rate * self.burst_s, self._level)
