--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections outnumber threads: idle ones are watched by one thread, and each gets a thread for its next request."""
+"""Servers with more connections than threads, limits for large fleets, and lists that are read in pages."""
 
 import re
 import resource
@@ -30,24 +30,24 @@
 
 FLEET = 4500
 THREADS = 40
-# left to whatever else the process has open
-OTHER_FILES = 200
-ANSWER_S = 20.0
+# File descriptors reserved for everything else in the process.
+RESERVED_FILES = 200
+REPLY_TIMEOUT_S = 20.0
 HEAD = re.compile(rb"Content-Length: (\d+)\r\n(?:[^\r]+\r\n)*\r\n")
 
 
-def as_many_as_can_be(wanted):
-    """Pairs of sockets that this process may have: both ends are ours."""
+def possible_connections(wanted):
+    """Return how many of the wanted connections this process may open; it has the sockets of both ends."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return wanted if soft == resource.RLIM_INFINITY else min(wanted, (soft - OTHER_FILES) // 2)
+    return wanted if soft == resource.RLIM_INFINITY else min(wanted, (soft - RESERVED_FILES) // 2)
 
 
 def echo(method, path, body):
     return Reply(200, {"path": path, "body": body().decode()})
 
 
-class Served:
-    """A server in a thread of its own, and raw connections to it."""
+class RunningServer:
+    """A server in its own thread, and raw connections to it."""
 
     def __init__(self, server):
         self.server = server
@@ -55,7 +55,7 @@
         threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
 
     def connect(self):
-        stream = socket.create_connection(self.server.server_address[:2], timeout=ANSWER_S)
+        stream = socket.create_connection(self.server.server_address[:2], timeout=REPLY_TIMEOUT_S)
         self.streams.append(stream)
         return stream
 
@@ -68,11 +68,11 @@
 
 @pytest.fixture
 def serve():
-    begun = []
+    started = []
 
-    def begin(route=echo, idle_timeout_s=30.0, most=FLEET + 100, max_threads=THREADS):
-        begun.append(
-            Served(
+    def start(route=echo, idle_timeout_s=30.0, most=FLEET + 100, max_threads=THREADS):
+        started.append(
+            RunningServer(
                 Server(
                     ("127.0.0.1", 0),
                     route,
@@ -83,19 +83,19 @@
                 )
             )
         )
-        return begun[-1]
+        return started[-1]
 
-    yield begin
-    for served in begun:
-        served.close()
+    yield start
+    for running_server in started:
+        running_server.close()
 
 
-def ask(stream, path):
+def send_request(stream, path):
     stream.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
 
 
-def answers(stream, number):
-    """The bodies of so many answers; fewer if the stream ends."""
+def read_replies(stream, number):
+    """Return the bodies of `number` replies, or fewer if the stream ends."""
     data, found = b"", []
     while len(found) < number:
         head = HEAD.search(data)
@@ -111,7 +111,7 @@
     return found
 
 
-def until(condition, seconds=10.0):
+def wait_until(condition, seconds=10.0):
     deadline = time.monotonic() + seconds
     while not condition() and time.monotonic() < deadline:
         time.sleep(0.01)
@@ -119,160 +119,160 @@
 
 
 def test_a_fleet_of_idle_connections_is_served_by_few_threads(serve):
-    served = serve()
-    number = as_many_as_can_be(FLEET)
+    running_server = serve()
+    number = possible_connections(FLEET)
     assert number >= 400
     before = threading.active_count()
     most = 0
-    for turn in range(2):  # each connection is idle for as long as all others take, then asks again
+    for turn in range(2):  # each connection is idle while all others send a request, then sends another one
         for index in range(number):
-            stream = served.connect() if turn == 0 else served.streams[index]
-            ask(stream, f"/{turn}/{index}")
-            assert answers(stream, 1) == [b'{"path":"/%d/%d","body":""}' % (turn, index)]
+            stream = running_server.connect() if turn == 0 else running_server.streams[index]
+            send_request(stream, f"/{turn}/{index}")
+            assert read_replies(stream, 1) == [b'{"path":"/%d/%d","body":""}' % (turn, index)]
             most = max(most, threading.active_count() - before)
     assert most <= THREADS
-    assert served.server.open_connections == number
+    assert running_server.server.open_connections == number
 
 
 def test_a_fleet_that_asks_at_once_is_answered_in_turn(serve):
-    """Connections that have no thread wait in a queue; none is refused or forgotten."""
-    served = serve(max_threads=8)
-    number = as_many_as_can_be(1000)
-    streams = [served.connect() for _ in range(number)]
+    """Connections without a thread wait in a queue; none is refused or lost."""
+    running_server = serve(max_threads=8)
+    number = possible_connections(1000)
+    streams = [running_server.connect() for _ in range(number)]
     before = threading.active_count()
     for _ in range(2):
         for stream in streams:
-            ask(stream, "/x")
-        assert all(len(answers(stream, 1)) == 1 for stream in streams)
+            send_request(stream, "/x")
+        assert all(len(read_replies(stream, 1)) == 1 for stream in streams)
     assert threading.active_count() - before <= 8
 
 
 def test_connections_that_say_nothing_take_no_thread_from_the_others(serve):
-    served = serve(max_threads=8)
+    running_server = serve(max_threads=8)
     for _ in range(100):
-        served.connect()
-    assert until(lambda: served.server.open_connections == 100)
-    last = served.connect()
-    ask(last, "/x")
-    assert len(answers(last, 1)) == 1
+        running_server.connect()
+    assert wait_until(lambda: running_server.server.open_connections == 100)
+    last = running_server.connect()
+    send_request(last, "/x")
+    assert len(read_replies(last, 1)) == 1
 
 
 def test_a_parked_connection_is_closed_when_it_was_idle_for_too_long(serve):
-    served = serve(idle_timeout_s=1.5, max_threads=1)
-    stream = served.connect()
-    silent = served.connect()
-    for _ in range(2):  # each request begins the time anew
+    running_server = serve(idle_timeout_s=1.5, max_threads=1)
+    stream = running_server.connect()
+    silent = running_server.connect()
+    for _ in range(2):  # each request restarts the idle timeout
         time.sleep(0.9)
-        ask(stream, "/x")
-        assert len(answers(stream, 1)) == 1
+        send_request(stream, "/x")
+        assert len(read_replies(stream, 1)) == 1
     began = time.monotonic()
     assert silent.recv(1) == b""
     assert stream.recv(1) == b""
     assert 1.0 < time.monotonic() - began < 6.0
-    assert until(lambda: served.server.open_connections == 0)
+    assert wait_until(lambda: running_server.server.open_connections == 0)
 
 
 def test_pipelined_requests_are_all_answered(serve):
-    """The second one is read ahead with the first, where no selector sees it."""
-    served = serve(max_threads=1)
+    """The second request is read ahead with the first, so a selector doesn't see it."""
+    running_server = serve(max_threads=1)
     for _ in range(20):
-        stream = served.connect()
-        post = b"POST /second HTTP/1.1\r\nContent-Length: 4\r\n\r\n"
-        stream.sendall(b"GET /first HTTP/1.1\r\n\r\n" + post + b"body")
-        assert answers(stream, 2) == [b'{"path":"/first","body":""}', b'{"path":"/second","body":"body"}']
-        ask(stream, "/third")
-        assert len(answers(stream, 1)) == 1
+        stream = running_server.connect()
+        second = b"POST /second HTTP/1.1\r\nContent-Length: 4\r\n\r\n"
+        stream.sendall(b"GET /first HTTP/1.1\r\n\r\n" + second + b"body")
+        assert read_replies(stream, 2) == [b'{"path":"/first","body":""}', b'{"path":"/second","body":"body"}']
+        send_request(stream, "/third")
+        assert len(read_replies(stream, 1)) == 1
 
 
 def test_connections_beyond_the_most_are_refused_and_yielding_answers_end_theirs(serve):
     def route(method, path, body):
         return Reply(200, {}, close_if_crowded=True)
 
-    served = serve(route, most=20, max_threads=4)
-    kept = [served.connect() for _ in range(18)]
-    assert until(lambda: served.server.open_connections == 18)
-    more = [served.connect() for _ in range(2)]
-    assert until(lambda: served.server.open_connections == 20)
-    assert served.connect().recv(1) == b""
-    ask(kept[0], "/x")
-    assert len(answers(kept[0], 1)) == 1
+    running_server = serve(route, most=20, max_threads=4)
+    kept = [running_server.connect() for _ in range(18)]
+    assert wait_until(lambda: running_server.server.open_connections == 18)
+    more = [running_server.connect() for _ in range(2)]
+    assert wait_until(lambda: running_server.server.open_connections == 20)
+    assert running_server.connect().recv(1) == b""
+    send_request(kept[0], "/x")
+    assert len(read_replies(kept[0], 1)) == 1
     assert kept[0].recv(1) == b""
-    assert until(lambda: served.server.open_connections == 19)
-    ask(more[0], "/x")
-    assert len(answers(more[0], 1)) == 1
+    assert wait_until(lambda: running_server.server.open_connections == 19)
+    send_request(more[0], "/x")
+    assert len(read_replies(more[0], 1)) == 1
 
 
 def test_a_server_that_is_closed_closes_parked_connections(serve):
-    served = serve(max_threads=1)
-    streams = [served.connect() for _ in range(10)]
+    running_server = serve(max_threads=1)
+    streams = [running_server.connect() for _ in range(10)]
     for stream in streams:
-        ask(stream, "/x")
-        answers(stream, 1)
-    served.server.shutdown()
-    served.server.server_close()
+        send_request(stream, "/x")
+        read_replies(stream, 1)
+    running_server.server.shutdown()
+    running_server.server.server_close()
     assert all(stream.recv(1) == b"" for stream in streams)
-    assert until(lambda: served.server.open_connections == 0)
+    assert wait_until(lambda: running_server.server.open_connections == 0)
 
 
 def test_with_a_thread_for_each_connection_nothing_is_parked(serve):
-    served = serve(most=8, max_threads=None)
+    running_server = serve(most=8, max_threads=None)
     before = threading.active_count()
     for _ in range(8):
-        stream = served.connect()
-        ask(stream, "/x")
-        assert len(answers(stream, 1)) == 1
+        stream = running_server.connect()
+        send_request(stream, "/x")
+        assert len(read_replies(stream, 1)) == 1
     assert threading.active_count() - before == 8
-    assert served.server._idle is None
+    assert running_server.server._idle is None
 
 
 def test_a_parked_connection_inside_tls_is_served_again(tmp_path):
     tls = make_certificate(tmp_path / "tls", "server", ["127.0.0.1"])
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
-    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=2)
-    threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
+    server = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=2)
+    threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
     before = threading.active_count()
-    clients = [KeyedClient(gate.server_address[:2], ring.shown, tls=tls.client()) for _ in range(12)]
+    clients = [KeyedClient(server.server_address[:2], ring.shown, tls=tls.client()) for _ in range(12)]
     try:
         for _ in range(3):
             for client in clients:
                 assert client.request("POST", "/x", {"a": 1}, 10.0)[0] == 200
         assert threading.active_count() - before <= 2
-        assert gate.open_connections == 12
+        assert server.open_connections == 12
         assert all(len(client._idle) == 1 for client in clients)
     finally:
-        gate.shutdown()
-        gate.server_close()
+        server.shutdown()
+        server.server_close()
 
 
 def test_requests_that_come_in_one_record_of_tls_are_all_answered(tmp_path):
-    """The second one is decrypted with the first, and nothing is left in the socket."""
+    """The second request is decrypted with the first, so nothing is left in the socket."""
     tls = make_certificate(tmp_path / "tls", "server", ["127.0.0.1"])
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
-    gate = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=1)
-    threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
-    plain = socket.create_connection(gate.server_address[:2], timeout=ANSWER_S)
+    server = AuthenticatedServer(("127.0.0.1", 0), echo, ring, 20.0, 5.0, 100, tls.server(), max_threads=1)
+    threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 0.05}, daemon=True).start()
+    tcp_stream = socket.create_connection(server.server_address[:2], timeout=REPLY_TIMEOUT_S)
     try:
-        # the first is as long as what is read ahead at a time
-        with tls.client().wrap_socket(plain, server_hostname="127.0.0.1") as stream:
+        # The first request has the size of the read buffer.
+        with tls.client().wrap_socket(tcp_stream, server_hostname="127.0.0.1") as stream:
             head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {ring.shown()}\r\nContent-Length: "
             first = (head + "0008000\r\n\r\n").encode()
             size = 8192 - len(first)
             first = (head + f"{size:07d}\r\n\r\n").encode() + b"y" * size
             assert len(first) == 8192
             stream.sendall(first + (head + "2\r\n\r\n").encode() + b"zz")
-            assert [len(body) for body in answers(stream, 2)][1] == len(b'{"path":"/x","body":"zz"}')
+            assert [len(body) for body in read_replies(stream, 2)][1] == len(b'{"path":"/x","body":"zz"}')
     finally:
-        gate.shutdown()
-        gate.server_close()
+        server.shutdown()
+        server.server_close()
 
 
 def test_the_queue_and_the_threads_are_bounded():
-    go, served = threading.Event(), []
+    may_finish, served = threading.Event(), []
 
     def serve(connection):
-        go.wait(10.0)
+        may_finish.wait(10.0)
         served.append(connection)
 
     workers = ConnectionThreads(max_threads=2, scarce_from=1, max_waiting=3, serve=serve)
@@ -280,10 +280,10 @@
     assert [workers.submit(connection) for connection in connections] == [True] * 5 + [False]
     assert workers.running == 2
     assert workers.scarce
-    go.set()
-    assert until(lambda: len(served) == 5)
+    may_finish.set()
+    assert wait_until(lambda: len(served) == 5)
     assert {connection.address for connection in served} == {*range(5)}
-    assert until(lambda: workers.running == 0)  # those that are done end after a while
+    assert wait_until(lambda: workers.running == 0)  # idle threads end after a timeout
     assert workers.close() == []
     assert not workers.submit(connections[0])
 
@@ -298,19 +298,19 @@
         theirs.sendall(b"x")
     for _, theirs in pairs[10:20]:
         theirs.close()
-    assert until(lambda: len(expired) == 10)
+    assert wait_until(lambda: len(expired) == 10)
     assert sorted(connection.address for connection in ready) == [*range(20)]
     assert [connection.address for connection in expired] == [*range(20, 30)]
     assert idle.park(Connection(pairs[20][0], 20))
     idle.close()
-    assert until(lambda: len(expired) == 11)
+    assert wait_until(lambda: len(expired) == 11)
     assert not idle.park(Connection(pairs[21][0], 21))
     for pair in pairs:
         for stream in pair:
             stream.close()
 
 
-# Limits that stood below 4,000 machines
+# Limits that must allow more than 4,000 machines
 
 
 def control_settings(tmp_path, connections):
@@ -324,7 +324,7 @@
     settings = control_settings(tmp_path, connections)
     assert settings.connections == connections
     inner = settings.controller(1, "127.0.0.1")
-    assert connection_limits.max_incoming_connections(inner) >= 0.8 * connections  # bounded by the sockets only
+    assert connection_limits.max_incoming_connections(inner) >= 0.8 * connections  # limited only by the sockets
     assert connection_limits.connection_threads(inner) > 1000
     assert connection_limits.connection_threads(inner) + connection_limits.unresponsive_threads(inner) <= 1900
 
@@ -347,12 +347,12 @@
             <= 1900
         )
     finally:
-        for gate in control.gates:
-            gate.server_close()
+        for server in control.gates:
+            server.server_close()
         control.engine.close()
 
 
-# Lists: pages that are continued
+# Lists that are read in pages
 
 
 class NoProcesses(AgentProcesses):
@@ -374,8 +374,8 @@
     return provider
 
 
-def desk_of(engine, provider, connect=None):
-    """A desk whose controller has heard of no machine but by an address."""
+def control_api_of(engine, provider, connect=None):
+    """Return the control API of a controller without reports from any machine."""
     fleet = SimpleNamespace(lock=threading.Lock(), machines={})
     controller = SimpleNamespace(
         machine_registry=fleet, job_api=SimpleNamespace(poll=lambda job: Reply(200, {"harbor": "done"}))
@@ -384,7 +384,7 @@
 
 
 def test_lists_of_a_fleet_are_whole(engine):
-    """Over the cloud's interface by pages, at the desk in one answer, and as a restart reads the records."""
+    """Through the cloud API in pages, through the control API in one reply, and after a restart of the provider."""
     provider = provider_of(engine, FLEET)
     for known in (provider, Provider(engine, "here", {"m": Kind(1, 1)}, NoProcesses(), None, lambda name: None)):
         assert len(known.machines()) == FLEET
@@ -394,12 +394,12 @@
             names += [row["id"] for row in page["fleet"]]
             more = page["more"]
         assert names == [f"vm-{number + 1:06d}" for number in range(FLEET)]
-    reply = desk_of(engine, provider).route("GET", paths.AGENTS, bytes)
+    reply = control_api_of(engine, provider).route("GET", paths.AGENTS, bytes)
     assert [row["machine"] for row in reply.body["agents"]] == names
 
 
 def test_the_output_of_a_job_is_found_on_any_of_its_machines(engine):
-    """Only the first 1,000 by name were asked."""
+    """Guards against a search that requests the output only from the first 1,000 machines by name."""
     machines = [f"vm-{number:06d}" for number in range(1200)]
     engine.transact({}, [Write(f"{RAN}job/{machine}", b"1") for machine in machines])
     asked = []
@@ -409,9 +409,9 @@
             asked.append(1)
             return (200, {"attempt": 1, "data": ""}) if len(asked) == len(machines) else (404, {})
 
-    desk = desk_of(engine, None, lambda address: Agent())
-    desk.address_of = lambda machine: ("127.0.0.1", 1)
-    reply = desk.route("GET", f"{paths.OUTPUT}/job/0", bytes)
+    control_api = control_api_of(engine, None, lambda address: Agent())
+    control_api.address_of = lambda machine: ("127.0.0.1", 1)
+    reply = control_api.route("GET", f"{paths.OUTPUT}/job/0", bytes)
     assert reply.status == 200
     assert reply.body["machine"] == machines[-1]
 
@@ -440,10 +440,10 @@
 def test_a_list_of_jobs_goes_on_after_each_page(engine):
     value = msgspec.json.encode({"command": ["x"]})
     engine.transact({}, [Write(f"{DESCRIPTION}job-{number:06d}", value) for number in range(450)])
-    desk = desk_of(engine, None)
+    control_api = control_api_of(engine, None)
     found, after, more = [], "", True
     while more:
-        body = desk.route("GET", f"{paths.JOBS}?after={after}", bytes).body
+        body = control_api.route("GET", f"{paths.JOBS}?after={after}", bytes).body
         found += [row["job"] for row in body["jobs"]]
         more, after = body["more"], body["last"]
     assert found == [f"job-{number:06d}" for number in range(450)]
