--- a/tidebend/coordination/leader_election.py
+++ b/tidebend/coordination/leader_election.py
@@ -6,7 +6,7 @@
 import random
 import time
 
-from tidebend.coordination.records import LEADER, LeaderRecord
+from tidebend.coordination.records import LEADER_KEY, LeaderRecord
 from tidebend.coordination.session_lease import SessionLease
 from tidebend.kvclient import ConflictError, RequestKind, WatchCache
 from tidebend.protocol import Write
@@ -31,7 +31,7 @@
     @property
     def term(self) -> int | None:
         """The leader's term (the revision of its election) while this controller leads, else None."""
-        value, version = self._cache.get(LEADER)
+        value, version = self._cache.get(LEADER_KEY)
         if value is None or not self._has_current_lease(LeaderRecord.unpack(value)):
             return None
         return version if self._session_lease.is_valid else None
@@ -41,7 +41,7 @@
 
         Raises the errors of `WatchCache.write`.
         """
-        value, version = self._cache.get(LEADER)
+        value, version = self._cache.get(LEADER_KEY)
         if value is None or self._has_former_lease(LeaderRecord.unpack(value)):
             if self._session_lease.lease is None or not self._session_lease.is_valid:
                 return None
@@ -56,9 +56,9 @@
         lease = self._session_lease.lease
         if lease is None:
             return False  # the lease ended during the wait
-        writes: list[Write] = [(LEADER, LeaderRecord(self._name, lease).pack(), lease)]
+        writes: list[Write] = [(LEADER_KEY, LeaderRecord(self._name, lease).pack(), lease)]
         try:
-            revision = self._cache.write({LEADER: version}, writes, RequestKind.LEASE)
+            revision = self._cache.write({LEADER_KEY: version}, writes, RequestKind.LEASE)
         except ConflictError:
             self._cache.barrier(self._read_timeout_s, RequestKind.CLAIM)
             return False
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -13,17 +13,24 @@
 from collections.abc import Mapping
 from typing import Any
 
-from tidebend.coordination.records import FORMAT, READS, FormatRecord, ReadsRecord
+from tidebend.coordination.records import READABLE_VERSION_PREFIX, SCHEMA_VERSION_KEY, FormatRecord, ReadsRecord
 from tidebend.kvclient import KeyValueClient, NotExecutedError, OutcomeUnknownError, RequestKind, WatchCache
 from tidebend.settings import Settings
 
-__all__ = ["FORMAT", "NEWEST", "PIPELINES", "READS", "SchemaVersion", "show"]
+__all__ = [
+    "NEWEST_VERSION",
+    "PIPELINES_VERSION",
+    "READABLE_VERSION_PREFIX",
+    "SCHEMA_VERSION_KEY",
+    "SchemaVersion",
+    "print_schema_versions",
+]
 
 log = logging.getLogger("schema_version")
 
-FIRST = 1
-PIPELINES = 2
-NEWEST = PIPELINES
+FIRST_VERSION = 1
+PIPELINES_VERSION = 2
+NEWEST_VERSION = PIPELINES_VERSION
 
 SHOW_TIMEOUT_S = 2.0
 
@@ -41,13 +48,13 @@
     @property
     def version(self) -> int:
         """The schema version in force according to the cache; it only grows, so a stale value is safe."""
-        value, _ = self.cache.get(FORMAT)
+        value, _ = self.cache.get(SCHEMA_VERSION_KEY)
         return _version_in_force(value)
 
     @property
     def supports_pipelines(self) -> bool:
         """Whether records may contain the fields that were added with pipelines."""
-        return self.version >= PIPELINES
+        return self.version >= PIPELINES_VERSION
 
     def announce(self) -> None:
         """Record the newest schema version that this process reads, unless the record exists.
@@ -58,11 +65,11 @@
         if not self._has_logged_version:
             self._has_logged_version = True
             log.info("schema version %d is in force as of revision %d", self.version, self.cache.revision)
-        key = READS + self.settings.name
+        key = READABLE_VERSION_PREFIX + self.settings.name
         value, version = self.cache.get(key)
-        if _newest_readable(value) < NEWEST:
-            self._put(key, ReadsRecord(NEWEST).pack(), {key: version})
-            log.info("announced that this process reads up to schema version %d", NEWEST)
+        if _newest_readable(value) < NEWEST_VERSION:
+            self._put(key, ReadsRecord(NEWEST_VERSION).pack(), {key: version})
+            log.info("announced that this process reads up to schema version %d", NEWEST_VERSION)
 
     def upgrade_if_all_support(self, leader: Mapping[str, int]) -> None:
         """Put the newest schema version into force if all controllers have announced that they read it.
@@ -70,30 +77,30 @@
         `leader` is the transaction condition that this controller still leads. Raises the errors of
         `WatchCache.write`.
         """
-        if self.version >= NEWEST:
+        if self.version >= NEWEST_VERSION:
             return
         conditions = dict(leader)
         for name in _controller_names(self.settings):
-            value, version = self.cache.get(READS + name)
-            if _newest_readable(value) < NEWEST:
+            value, version = self.cache.get(READABLE_VERSION_PREFIX + name)
+            if _newest_readable(value) < NEWEST_VERSION:
                 return
-            conditions[READS + name] = version
-        _, version = self.cache.get(FORMAT)
-        self._put(FORMAT, FormatRecord(NEWEST).pack(), {**conditions, FORMAT: version})
-        log.info("upgraded to schema version %d; a downgrade is not possible", NEWEST)
+            conditions[READABLE_VERSION_PREFIX + name] = version
+        _, version = self.cache.get(SCHEMA_VERSION_KEY)
+        self._put(SCHEMA_VERSION_KEY, FormatRecord(NEWEST_VERSION).pack(), {**conditions, SCHEMA_VERSION_KEY: version})
+        log.info("upgraded to schema version %d; a downgrade is not possible", NEWEST_VERSION)
 
     def _put(self, key: str, value: dict[str, Any], conditions: dict[str, int]) -> None:
         self.cache.write(conditions, [(key, value, None)], RequestKind.LEASE)
 
 
-def show(settings: Settings) -> int:
+def print_schema_versions(settings: Settings) -> int:
     """Print the schema version in force and the newest one that each controller reads; return the exit status."""
     client = KeyValueClient(settings.state, settings.store_limits, settings.controller_count, timeout=SHOW_TIMEOUT_S)
     try:
-        value, _ = client.get(FORMAT)
+        value, _ = client.get(SCHEMA_VERSION_KEY)
         print(f"schema version {_version_in_force(value)} is in force")
         for name in sorted(_controller_names(settings)):
-            value, _ = client.get(READS + name)
+            value, _ = client.get(READABLE_VERSION_PREFIX + name)
             print(f"{name} reads up to schema version {_newest_readable(value)}")
     except (NotExecutedError, OutcomeUnknownError) as error:
         print(f"tidebend: can't read the key-value store: {error}", file=sys.stderr)
@@ -106,8 +113,8 @@
 
 
 def _version_in_force(value: Any) -> int:
-    return FormatRecord.unpack(value).version if value else FIRST
+    return FormatRecord.unpack(value).version if value else FIRST_VERSION
 
 
 def _newest_readable(value: Any) -> int:
-    return ReadsRecord.unpack(value).newest if value else FIRST
+    return ReadsRecord.unpack(value).newest if value else FIRST_VERSION
