--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -8,9 +8,9 @@
 
 from tidebend.coordination import InvalidPeerFrameError, PeerFrame, PeerMachine, ShardHolder
 from tidebend.coordination.records import (
-    LEADER,
-    NODE,
-    SHARD,
+    LEADER_KEY,
+    NODE_PREFIX,
+    SHARD_PREFIX,
     FormatRecord,
     LeaderRecord,
     NodeRecord,
@@ -83,7 +83,7 @@
 def test_productions_records_of_coordination_can_be_read():
     read = 0
     for key, value in SAMPLES["items"].items():
-        for prefix, kind in ((LEADER, LeaderRecord), (NODE, NodeRecord), (SHARD, ShardRecord)):
+        for prefix, kind in ((LEADER_KEY, LeaderRecord), (NODE_PREFIX, NodeRecord), (SHARD_PREFIX, ShardRecord)):
             if key.startswith(prefix):
                 assert kind.unpack(value).pack() == value
                 read += 1
--- a/tidebend/coordination/peer_exchange.py
+++ b/tidebend/coordination/peer_exchange.py
@@ -34,7 +34,7 @@
     as_of: float = NEVER  # wall-clock time at which the peer's last completed read of the key-value store began
     machines: Sequence[PeerMachine] | None = None  # None before the first frame
     shards: frozenset[str] = frozenset()  # shards that the peer holds
-    # Peers of schema version 1 don't send the following.
+    # Peers before schema version 2 don't send the following.
     crash_looping_jobs: frozenset[str] = frozenset()  # jobs that failed on every machine on which the peer tried them
     report_times: dict[str, float] = field(default_factory=dict)  # shard -> monotonic time of the last worker report
 
--- a/tidebend/coordination/schema_version.py
+++ b/tidebend/coordination/schema_version.py
@@ -32,7 +32,7 @@
 PIPELINES_VERSION = 2
 NEWEST_VERSION = PIPELINES_VERSION
 
-SHOW_TIMEOUT_S = 2.0
+READ_TIMEOUT_S = 2.0
 
 
 class SchemaVersion:
@@ -57,10 +57,10 @@
         return self.version >= PIPELINES_VERSION
 
     def announce(self) -> None:
-        """Record the newest schema version that this process reads, unless the record exists.
+        """Record the newest schema version that this process reads, unless it is already recorded.
 
-        The record outlives the process, since a controller isn't restarted with an older release afterwards. Raises the
-        errors of `WatchCache.write`.
+        The record outlives the process, which is never restarted with an older release. Raises the errors of
+        `WatchCache.write`.
         """
         if not self._has_logged_version:
             self._has_logged_version = True
@@ -95,7 +95,7 @@
 
 def print_schema_versions(settings: Settings) -> int:
     """Print the schema version in force and the newest one that each controller reads; return the exit status."""
-    client = KeyValueClient(settings.state, settings.store_limits, settings.controller_count, timeout=SHOW_TIMEOUT_S)
+    client = KeyValueClient(settings.state, settings.store_limits, settings.controller_count, timeout=READ_TIMEOUT_S)
     try:
         value, _ = client.get(SCHEMA_VERSION_KEY)
         print(f"schema version {_version_in_force(value)} is in force")
