--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from tidebend.hcl import HclFile, HclFileError
-from tidebend.messages import Bounds, Description
+from tidebend.messages import Description, ProcessLimits
 from tidebend.messages.descriptions import Amount, Text
 from tidebend.protocol import JobSpec
 
@@ -44,7 +44,7 @@
     checkpoint_s: Amount = 0.0
     save_s: Amount = 0.0
     output_kb: Annotated[int, msgspec.Meta(ge=1, le=1024 * 1024)] = 1024
-    limits: Bounds = Bounds()
+    limits: ProcessLimits = ProcessLimits()
 
     def spec(self, name: str) -> JobSpec:
         """Return what the scheduler has to know of the job."""
@@ -110,9 +110,9 @@
 def read_jobs(path: str) -> list[Ready]:
     """Return the jobs of a file, each after those it waits for. Raises HclFileError."""
     file = HclFile(path)
-    file.only("job")
+    file.reject_unknown("job")
     _unwrap_limits(file)
-    blocks = file.labelled("job", JobBlock)
+    blocks = file.labelled_blocks("job", JobBlock)
     if not blocks:
         raise file.error(("job",), 'expected at least one job "NAME" { command = [...] }')
     for name, block in blocks.items():
