--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -48,7 +48,7 @@
     (MACHINE + "times {\n}\ntimes {\n}\n", "times: expected one block"),
     (MACHINE + 'state {\n  listen = "10.0.0.1:1"\n}\n', "6: state.listen: 10.0.0.1:1: beyond loopback"),
     (MACHINE + "speed = 3\n", "5: speed: Object contains unknown field `speed`"),
-    (MACHINE + MACHINE, "machine.m: stands twice"),
+    (MACHINE + MACHINE, "machine.m: duplicate block"),
     ('machine "m" {\n  cpus = 1\n}\n', "1: machine.m: Object missing required field `memory_gb`"),
     ('machine "m" {\n  cpus = 1\n  memory_gb = 1\n  agents = 3\n  most = 2\n}\n', "expected 0 <= agents <= most"),
     ("machine {\n  cpus = 1\n}\n", 'expected machine "LABEL"'),
@@ -81,7 +81,7 @@
     ),
     ('job "a" {\n  command = ["x"]\n  limits {\n    memory_gb = 0\n  }\n}\n', "4: job.a.limits.memory_gb: Expected"),
     ('job "a b" {\n  command = ["x"]\n}\n', "1: job.a b: Expected `str` matching"),
-    ("jobs = 3\n", "1: jobs: unknown; expected job"),
+    ("jobs = 3\n", "1: jobs: unknown name; expected job"),
 ]
 
 
@@ -162,7 +162,7 @@
         assert "no allowed machine type fits" in service("submit", "--cpus", "9999", "--", "true", status=4)
         assert "no such job" in service("status", "req-nothing", status=1)
         assert "no job req-nothing" in service("logs", "req-nothing", status=1)
-        assert "another process holds it" in service("up", status=2)
+        assert "another process holds the lock on this directory" in service("up", status=2)
         # keys are made once, rotated without stopping anything, and never shown
         secret = json.loads((tmp_path / "keys.json").read_text())["keys"][0]["secret"]
         assert secret not in service("keys", "show")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The embedded state service: the protocol's answers, and what is left after each way of failing."""
+"""The embedded key-value store: the protocol's answers, and the data that is left after each kind of failure."""
 
 import json
 import os
@@ -23,12 +23,12 @@
     StoreUnavailableError,
     Write,
 )
-from tidebend.kvstore.database import FILE
+from tidebend.kvstore.database import DATABASE_FILE
 from tidebend.settings import StoreLimits
 
 LIMITS = StoreLimits(1e6, 1e6, 1024, 4)
-# A data directory that the code of commit b21e54f wrote, copied while it was open, so that its last change is in the
-# write-ahead log only, and what that code read from it.
+# A data directory written by the code of commit b21e54f, with the content that this code read from it. It was copied
+# while the store was open, so its last change is in the write-ahead log only.
 SAMPLE = Path(__file__).parent / "samples" / "kvstore-b21e54f"
 
 
@@ -39,12 +39,12 @@
     engine.close()
 
 
-def reopened(engine, tmp_path):
+def reopen(engine, tmp_path):
     engine.close()
     return Engine(tmp_path / "s")
 
 
-CALLS = """
+REQUESTS = """
 POST /multi {"if":[{"k":"a/b","stamp":0}],"writes":[{"put":"a/b","v":{"x":1}}]} -> 200 {"logline":1}
 POST /multi {"if":[{"k":"a/b","stamp":0}],"writes":[{"put":"a/c","v":1}]} -> 409 {"logline":1,"failed":["a/b"]}
 POST /multi {"if":[{"k":"a/b","stamp":1}]} -> 200 {"logline":1}
@@ -73,9 +73,9 @@
 
 def test_answers_are_the_protocols(engine):
     service = StoreService(engine, LIMITS)
-    for line in CALLS.strip().splitlines():
-        call, _, expected = line.partition(" -> ")
-        method, path, *body = call.split(" ", 2)
+    for line in REQUESTS.strip().splitlines():
+        request, _, expected = line.partition(" -> ")
+        method, path, *body = request.split(" ", 2)
         status, answer = service.handle(method, path, json.loads(body[0]) if body else None)
         wanted, _, text = expected.partition(" ")
         assert status == int(wanted), (line, answer)
@@ -99,9 +99,9 @@
 
 
 def test_keys_go_with_their_lease_and_only_then(engine):
-    lease = engine.grant(300)
+    lease = engine.grant_lease(300)
     engine.transact({}, [Write("mine", b"1", lease), Write("kept", b"1", lease)])
-    engine.transact({}, [Write("kept", b"2")])  # detached
+    engine.transact({}, [Write("kept", b"2")])  # detaches it from the lease
     for _ in range(4):
         time.sleep(0.1)
         assert engine.leases.extend(lease)
@@ -117,21 +117,21 @@
 
 
 def test_a_restart_keeps_all_and_gives_leases_their_full_time(engine, tmp_path):
-    lease = engine.grant(1000)
+    lease = engine.grant_lease(1000)
     engine.transact({}, [Write("mine", b"1", lease), Write("other", b"2")])
     revision = engine.transact({}, [Write("gone", b"1")])
     engine.transact({"gone": revision}, [Write("gone", None)])
     time.sleep(0.6)
-    again = reopened(engine, tmp_path)
+    again = reopen(engine, tmp_path)
     try:
         assert again.feed.revision == revision + 1
         assert again.get("gone")[0] is None
-        time.sleep(0.6)  # together longer than the lease, but not since the restart
+        time.sleep(0.6)  # the sum of both pauses exceeds the lifetime, the time since the restart does not
         assert again.get("mine")[0].value == 1
         assert again.leases.extend(lease)
-        assert again.grant(1000) > lease  # a number is never given twice
+        assert again.grant_lease(1000) > lease  # lease IDs are never reused
         assert again.transact({}, [Write("x", b"1")]) > revision + 1
-        # watches go on where they were, or are told to read anew
+        # a watch continues from its revision, or is told to read its keys again
         service = StoreService(again, LIMITS)
         assert service.handle("GET", f"/changes?under=&from={revision}", None)[0] == 410
         assert service.handle("GET", f"/changes?under=&from={revision + 1}", None)[1]["log"][0]["put"] == "x"
@@ -140,24 +140,24 @@
 
 
 def test_after_a_standstill_leases_have_their_full_time(engine, monkeypatch):
-    lease = engine.grant(5000)
-    real, jump = time.monotonic, 0.0
-    monkeypatch.setattr(time, "monotonic", lambda: real() + jump)
-    jump = 60.0  # as if the whole process had been stopped
+    lease = engine.grant_lease(5000)
+    real_clock, offset = time.monotonic, 0.0
+    monkeypatch.setattr(time, "monotonic", lambda: real_clock() + offset)
+    offset = 60.0  # as if the process had been paused
     time.sleep(0.3)
     assert engine.leases.extend(lease)
 
 
 @pytest.mark.parametrize("step", [-86_400.0, 86_400.0])
 def test_a_clock_that_is_set_changes_nothing(engine, monkeypatch, step):
-    lease = engine.grant(1000)
+    lease = engine.grant_lease(1000)
     engine.transact({}, [Write("mine", b"1", lease)])
-    real = time.time
-    monkeypatch.setattr(time, "time", lambda: real() + step)
+    real_clock = time.time
+    monkeypatch.setattr(time, "time", lambda: real_clock() + step)
     time.sleep(0.5)
     assert engine.get("mine")[0] is not None
     assert engine.leases.extend(lease)
-    time.sleep(0.7)  # longer than it would have lived without that
+    time.sleep(0.7)  # longer than its lifetime without the extension
     assert engine.get("mine")[0] is not None
     time.sleep(0.6)
     assert engine.get("mine")[0] is None
@@ -176,7 +176,7 @@
     for number in range(200):
         engine.transact({}, [Write(f"k/{number}", b'"' + b"x" * 500 + b'"')])
     engine.close()
-    path = tmp_path / "s" / FILE
+    path = tmp_path / "s" / DATABASE_FILE
     if how == "newer":
         with sqlite3.connect(path) as db:
             db.execute("PRAGMA user_version = 99")
@@ -190,7 +190,7 @@
     else:
         os.truncate(path, path.stat().st_size - 20_000)
     before = path.read_bytes()
-    with pytest.raises(DataDamagedError, match=FILE):
+    with pytest.raises(DataDamagedError, match=DATABASE_FILE):
         Engine(tmp_path / "s")
     assert path.read_bytes() == before
 
@@ -198,16 +198,16 @@
 def test_a_torn_last_page_costs_only_what_nobody_was_told(tmp_path):
     engine = Engine(tmp_path / "s")
     engine.transact({}, [Write("first", b"1")])
-    log = tmp_path / "s" / f"{FILE}-wal"
+    log = tmp_path / "s" / f"{DATABASE_FILE}-wal"
     length = log.stat().st_size
     engine.transact({}, [Write("second", b"1")])
-    files = {name: (tmp_path / "s" / name).read_bytes() for name in (FILE, f"{FILE}-wal")}
+    files = {name: (tmp_path / "s" / name).read_bytes() for name in (DATABASE_FILE, f"{DATABASE_FILE}-wal")}
     engine.close()
-    # the second change got half to the disk, as in a power cut before its sync
+    # a power loss before the second sync: only a part of the second change is on disk
     torn = tmp_path / "torn"
     torn.mkdir()
-    (torn / FILE).write_bytes(files[FILE])
-    (torn / f"{FILE}-wal").write_bytes(files[f"{FILE}-wal"][: length + 100] + b"\0" * 3000)
+    (torn / DATABASE_FILE).write_bytes(files[DATABASE_FILE])
+    (torn / f"{DATABASE_FILE}-wal").write_bytes(files[f"{DATABASE_FILE}-wal"][: length + 100] + b"\0" * 3000)
     again = Engine(torn)
     assert again.get("first")[0] is not None
     assert again.get("second")[0] is None
@@ -235,13 +235,13 @@
     revision = engine.feed.revision
     engine._connection.execute("PRAGMA max_page_count = 1000000")
     assert engine.transact({}, [Write("big", big)]) == revision + 1
-    assert engine.failing is None
+    assert engine.write_error is None
 
 
 def test_changes_of_many_share_their_syncs(engine):
     def client(number):
-        for turn in range(20):
-            engine.transact({}, [Write(f"k/{number}/{turn}", b"1")])
+        for round_number in range(20):
+            engine.transact({}, [Write(f"k/{number}/{round_number}", b"1")])
 
     before = engine.syncs
     threads = [threading.Thread(target=client, args=(number,)) for number in range(16)]
@@ -257,10 +257,10 @@
     won = []
 
     def client(number):
-        for turn in range(30):
+        for round_number in range(30):
             try:
-                engine.transact({f"k/{turn}": 0}, [Write(f"k/{turn}", b"%d" % number)])
-                won.append((turn, number))
+                engine.transact({f"k/{round_number}": 0}, [Write(f"k/{round_number}", b"%d" % number)])
+                won.append((round_number, number))
             except ConditionFailedError:
                 continue
 
@@ -270,10 +270,10 @@
     for thread in threads:
         thread.join()
     assert len(won) == 30
-    assert all(engine.get(f"k/{turn}")[0].value == number for turn, number in won)
+    assert all(engine.get(f"k/{round_number}")[0].value == number for round_number, number in won)
 
 
-WRITER = """
+WRITER_SCRIPT = """
 import sys
 from pathlib import Path
 from tidebend.kvstore import Engine, Write
@@ -286,42 +286,42 @@
 
 @pytest.mark.parametrize("fault", ["store.before-commit:20", "store.after-commit:20"])
 def test_killed_in_a_sync_what_was_answered_is_there(tmp_path, fault):
-    done = subprocess.run(
-        [sys.executable, "-c", WRITER, str(tmp_path / "s")],
+    process = subprocess.run(
+        [sys.executable, "-c", WRITER_SCRIPT, str(tmp_path / "s")],
         capture_output=True,
         text=True,
         env={**os.environ, "TIDEBEND_FAULT": fault},
     )
-    assert done.returncode == -signal.SIGKILL
-    answered = len(done.stdout.split())
+    assert process.returncode == -signal.SIGKILL
+    answered = len(process.stdout.split())
     assert answered == 19
     engine = Engine(tmp_path / "s")
-    # a change without an answer may be there or not, but whole
+    # a change that was not answered is there completely or not at all
     assert engine.count("k/") == answered + (fault.startswith("store.after"))
     assert engine.feed.revision == engine.count("k/")
     engine.close()
 
 
-def copy_of_sample(tmp_path):
-    for name in (FILE, f"{FILE}-wal"):
+def copy_sample(tmp_path):
+    for name in (DATABASE_FILE, f"{DATABASE_FILE}-wal"):
         shutil.copy(SAMPLE / name, tmp_path / name)
     return json.loads((SAMPLE / "expected.json").read_text())
 
 
 def test_a_data_directory_of_an_earlier_version_is_read_as_it_was(tmp_path):
-    expected = copy_of_sample(tmp_path)
+    expected = copy_sample(tmp_path)
     engine = Engine(tmp_path)
     try:
         rows, more, revision = engine.items("", "", 1000, 1 << 20)
         assert [[row.key, row.value, row.version, row.lease] for row in rows] == expected["items"]
         assert not more
         assert revision == engine.feed.revision == expected["revision"]
-        lives = dict(engine._connection.execute("SELECT id, life_ms FROM leases"))
-        assert {str(number): life for number, life in lives.items()} == expected["leases"]
+        lifetimes = dict(engine._connection.execute("SELECT id, life_ms FROM leases"))
+        assert {str(number): lifetime for number, lifetime in lifetimes.items()} == expected["leases"]
         numbers = range(1, expected["last_lease"] + 1)
         assert [str(number) for number in numbers if engine.leases.extend(number)] == [*expected["leases"]]
-        # and it goes on from there
-        assert engine.grant(1000) == expected["last_lease"] + 1
+        # new leases and revisions continue from the stored ones
+        assert engine.grant_lease(1000) == expected["last_lease"] + 1
         assert engine.transact({"job/req-a": 1}, [Write("job/req-a", b"2")]) == revision + 1
         assert engine.end_lease(1)
         assert [row.key for row in engine.all_items("")] == ["job/req-a", "job/req-ü", "text"]
@@ -329,8 +329,8 @@
         engine.close()
 
 
-def stored_form(directory):
-    with sqlite3.connect(directory / FILE) as db:
+def stored_format(directory):
+    with sqlite3.connect(directory / DATABASE_FILE) as db:
         tables = db.execute("SELECT type, name, sql FROM sqlite_master ORDER BY type, name").fetchall()
         pragmas = ("application_id", "user_version", "journal_mode", "page_size", "encoding")
         return tables, [db.execute(f"PRAGMA {name}").fetchone()[0] for name in pragmas]
@@ -339,5 +339,5 @@
 def test_a_new_data_directory_has_the_stored_form_of_an_earlier_version(tmp_path):
     Engine(tmp_path / "new").close()
     (tmp_path / "old").mkdir()
-    copy_of_sample(tmp_path / "old")
-    assert stored_form(tmp_path / "new") == stored_form(tmp_path / "old")
+    copy_sample(tmp_path / "old")
+    assert stored_format(tmp_path / "new") == stored_format(tmp_path / "old")
--- a/tidebend/__main__.py
+++ b/tidebend/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m tidebend`."""
+"""Entry point of `python -m tidebend`."""
 
 import sys
 
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -71,7 +71,7 @@
             "tidebend_state_syncs", "Syncs of the state's file since the start.", self._engine.syncs
         )
         yield GaugeMetricFamily(
-            "tidebend_state_refusing", "1 while the disk refuses changes.", float(self._engine.failing is not None)
+            "tidebend_state_refusing", "1 while the disk refuses changes.", float(self._engine.write_error is not None)
         )
         yield CounterMetricFamily(
             "tidebend_turned_away", "Requests without a good key since the start.", self._gate.refused
--- a/tidebend/hcl.py
+++ b/tidebend/hcl.py
@@ -1,4 +1,4 @@
-"""Operators' and users' HCL files, checked against schemas: an error names file, line, field and what was expected."""
+"""Reading and validating HCL files. Errors name the file, the line, the field and what was expected."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 from lark.tree import Tree
 
 T = TypeVar("T")
-# a settings or job file is small; what is larger wasn't meant to be one
-MOST_BYTES = 1024 * 1024
+# Settings and job files are small; a larger file was given by mistake.
+MAX_FILE_BYTES = 1024 * 1024
 
 _OPTIONS = SerializationOptions(with_comments=False, with_meta=False, explicit_blocks=False, strip_string_quotes=True)
 
 
 class HclFileError(Exception):
-    """A file can't be used; the text is `FILE:LINE: FIELD: what is wrong`."""
+    """An HCL file can't be read or is invalid; the text is `FILE:LINE: FIELD: what is wrong`."""
 
 
 class HclFile:
-    """A parsed file: its values, and where each of them stands."""
+    """A parsed HCL file: its values and their line numbers."""
 
     def __init__(self, path: str) -> None:
-        """Raises HclFileError."""
+        """Read and parse the file. Raises HclFileError."""
         self.path = path
         try:
             raw = Path(path).read_bytes()
         except OSError as error:
             raise HclFileError(f"{path}: {error.strerror}") from error
-        if len(raw) > MOST_BYTES:
-            raise HclFileError(f"{path}: {len(raw)} bytes, of at most {MOST_BYTES}")
+        if len(raw) > MAX_FILE_BYTES:
+            raise HclFileError(f"{path}: file has {len(raw)} bytes, expected at most {MAX_FILE_BYTES}")
         try:
             text = raw.decode()
             if not text.endswith("\n"):
                 text += "\n"
             self.values: dict[str, Any] = hcl2.loads(text, serialization_options=_OPTIONS)
             self._lines: dict[tuple[str, ...], int] = {}
-            self._note(hcl2.parses_to_tree(text), ())
+            self._record_lines(hcl2.parses_to_tree(text), ())
         except UnicodeDecodeError as error:
             line = raw[: error.start].count(b"\n") + 1
             raise HclFileError(f"{path}:{line}: not UTF-8") from error
@@ -52,74 +52,77 @@
         except (LarkError, ValueError, RecursionError) as error:
             raise HclFileError(f"{path}: not HCL: {str(error).splitlines()[0]}") from error
 
-    def _note(self, tree: Tree, where: tuple[str, ...]) -> None:
+    def _record_lines(self, tree: Tree, field_path: tuple[str, ...]) -> None:
         for node in tree.children:
             if not isinstance(node, Tree):
                 continue
             if node.data in ("attribute", "block"):
-                words = [
-                    str(word)
+                names = [
+                    str(name)
                     for part in node.children
                     if isinstance(part, Tree) and part.data in ("identifier", "string")
-                    for word in part.scan_values(
+                    for name in part.scan_values(
                         lambda token: isinstance(token, Token) and token.type in ("NAME", "STRING_CHARS")
                     )
                 ]
                 if node.data == "attribute":
-                    words = words[:1]
-                self._lines.setdefault((*where, *words), node.meta.line)
+                    names = names[:1]
+                self._lines.setdefault((*field_path, *names), node.meta.line)
                 if node.data == "block":
                     for part in node.children:
                         if isinstance(part, Tree) and part.data == "body":
-                            self._note(part, (*where, *words))
+                            self._record_lines(part, (*field_path, *names))
             else:
-                self._note(node, where)
+                self._record_lines(node, field_path)
 
-    def line(self, where: tuple[str, ...]) -> int:
-        """The line of a field, or of the nearest thing around it that stands in the file."""
-        while where and where not in self._lines:
-            where = where[:-1]
-        return self._lines.get(where, 1)
+    def line(self, field_path: tuple[str, ...]) -> int:
+        """Return the line of a field, or of the innermost enclosing block that is in the file."""
+        while field_path and field_path not in self._lines:
+            field_path = field_path[:-1]
+        return self._lines.get(field_path, 1)
 
-    def error(self, where: tuple[str, ...], text: str) -> HclFileError:
-        """Return an error that names the file, the line and the setting."""
-        return HclFileError(f"{self.path}:{self.line(where)}: {'.'.join(where)}: {text}")
+    def error(self, field_path: tuple[str, ...], text: str) -> HclFileError:
+        """Return an error that names the file, the line and the field."""
+        return HclFileError(f"{self.path}:{self.line(field_path)}: {'.'.join(field_path)}: {text}")
 
-    def check(self, values: Any, kind: type[T], where: tuple[str, ...] = ()) -> T:
-        """Values from this file as a checked structure; raises HclFileError."""
+    def check(self, values: Any, kind: type[T], field_path: tuple[str, ...] = ()) -> T:
+        """Convert values from this file to a `kind` and validate them. Raises HclFileError.
+
+        `field_path`: the field or block of the values, for error messages.
+        """
         try:
             return msgspec.convert(values, kind, strict=True)
         except msgspec.ValidationError as error:
-            text, _, path = str(error).partition(" - at `")
-            steps = [step for step in re.split(r"[.\[\]`]+", path.removeprefix("$")) if step and not step.isdigit()]
+            text, _, location = str(error).partition(" - at `")
+            steps = [step for step in re.split(r"[.\[\]`]+", location.removeprefix("$")) if step and not step.isdigit()]
             unknown = re.search(r"unknown field `(\w+)`", text)
-            field = (*where, *steps, *([unknown.group(1)] if unknown else []))
+            field = (*field_path, *steps, *([unknown.group(1)] if unknown else []))
             raise self.error(field, text) from error
 
     def block(self, name: str, kind: type[T]) -> T:
-        """An unlabelled block that may stand once or not at all."""
+        """Return an unlabelled block that may be given at most once; the defaults if it is missing."""
         rows = self.values.get(name, [])
         if not isinstance(rows, list) or len(rows) > 1 or any(not isinstance(row, dict) for row in rows):
             raise self.error((name,), "expected one block")
         return self.check(rows[0] if rows else {}, kind, (name,))
 
     def labelled_blocks(self, name: str, kind: type[T], default: Callable[[], dict[str, T]] = dict) -> dict[str, T]:
-        """Blocks with a label each, `NAME "LABEL" { ... }`; `default` where there is none."""
+        """Return the blocks `NAME "LABEL" { ... }` by label; what `default` returns if there is none."""
         found: dict[str, T] = {}
         for row in self.values.get(name, []):
             if not isinstance(row, dict) or len(row) != 1 or not isinstance(next(iter(row.values())), dict):
                 raise self.error((name,), f'expected {name} "LABEL" {{ ... }}')
             ((label, values),) = row.items()
             if label in found:
-                raise self.error((name, label), "stands twice")
+                raise self.error((name, label), "duplicate block")
             found[label] = self.check(values, kind, (name, label))
         return found or default()
 
     def reject_unknown(self, *names: str) -> None:
-        """Nothing but these at the top."""
+        """Raise HclFileError if there are other names at the top level than these."""
         for name in self.values:
             if name not in names:
-                raise self.error((name,), f"unknown; expected {', '.join(names)}")
+                raise self.error((name,), f"unknown name; expected {', '.join(names)}")
 
 
 def _unexpected(error: UnexpectedInput) -> str:
--- a/tidebend/kvstore/__init__.py
+++ b/tidebend/kvstore/__init__.py
@@ -1,8 +1,8 @@
-"""The embedded state service: the protocol's keys, transactions, leases and changes, durable in one directory.
+"""The embedded key-value store: keys, transactions, leases and watches of the protocol, durable in one directory.
 
-`Engine` is the store. Its `CommitQueue` executes operations and makes them durable, its `ReaderPool` reads, its
-`LeaseClock` tells when leases expire, and its `WatchFeed` tells watches of changes. `StoreService` answers the
-protocol's requests from an engine, and `InProcessClient` asks it without a socket.
+`Engine` is the store. Its `CommitQueue` executes operations and makes them durable, its `ReaderPool` serves reads, its
+`LeaseTable` tracks when leases expire, and its `WatchFeed` serves watches. `StoreService` answers the protocol's
+requests from an engine, and `InProcessClient` calls it without a socket.
 """
 
 from tidebend.kvstore.directory_lock import DirectoryLock
--- a/tidebend/kvstore/commit_queue.py
+++ b/tidebend/kvstore/commit_queue.py
@@ -1,7 +1,7 @@
-"""The commit queue: one thread writes, and the operations that wait share one commit and one sync of the disk.
+"""The commit queue: a single writer thread with group commit, so that queued operations share one disk sync.
 
-An operation is answered only once it is on the disk. When the disk refuses (full, say), what was asked for in that
-commit is refused as a whole, nothing that was answered is lost, and the next commit tries anew.
+An operation is answered only once it is durable. If a commit fails (on a full disk, for example), all of its
+operations fail and none takes effect; operations answered before are kept, and the next commit tries again.
 """
 
 from __future__ import annotations
@@ -17,82 +17,84 @@
 
 from tidebend.faults import fault_point
 from tidebend.kvstore.errors import ConditionFailedError, LeaseEndedError, StoreUnavailableError
-from tidebend.kvstore.leases import LeaseClock
-from tidebend.kvstore.operations import Commit, EndExpiredLeases, Operation
+from tidebend.kvstore.leases import LeaseTable
+from tidebend.kvstore.operations import Commit, DeleteEndedLeases, Operation
 from tidebend.kvstore.watch_feed import WatchFeed
 
 log = logging.getLogger("kvstore")
 
 MAX_OPERATIONS_PER_COMMIT = 256
-MOST_WAITING = 4096
-# The thread looks for expired leases at least this often: they may end up to 100 ms late.
+MAX_QUEUED_OPERATIONS = 4096
+# The writer thread checks for expired leases at least this often, so a lease may end up to 100 ms late. Also the pause
+# after a failed commit.
 TICK_S = 0.05
-# A longer gap between two ticks is an outage: this process stood still, and nobody could extend a lease.
-STANDSTILL_S = 1.0
-# How long `close` waits for the thread.
+# A longer gap between two iterations of the writer thread counts as an outage: the process was paused, and no holder
+# could extend its lease.
+PAUSE_THRESHOLD_S = 1.0
+# How long `close` waits for the writer thread.
 CLOSE_TIMEOUT_S = 10.0
 
 
 @dataclass
 class _Pending:
-    """An operation that waits, and where its result goes."""
+    """A queued operation and the future that receives its result."""
 
     operation: Operation
-    answer: Future[int] = field(default_factory=Future)
+    future: Future[int] = field(default_factory=Future)
 
 
 @dataclass(frozen=True, slots=True)
 class _Outcome:
-    """What an operation is answered with once its commit is durable."""
+    """The result or error of an operation, to be delivered once its commit is durable."""
 
     pending: _Pending
     result: int = 0
-    refusal: Exception | None = None
+    error: Exception | None = None
 
-    def answer(self) -> None:
-        if self.refusal is not None:
-            self.pending.answer.set_exception(self.refusal)
+    def deliver(self) -> None:
+        if self.error is not None:
+            self.pending.future.set_exception(self.error)
         else:
-            self.pending.answer.set_result(self.result)
+            self.pending.future.set_result(self.result)
 
 
 class CommitQueue:
-    """Executes operations in the order in which they come, and ends leases that have expired."""
+    """Executes operations in the order of their arrival, and deletes leases that have ended."""
 
-    def __init__(self, connection: sqlite3.Connection, leases: LeaseClock, feed: WatchFeed, last_lease: int) -> None:
-        """Starts the thread, which is the only one that uses `connection` from now on."""
+    def __init__(self, connection: sqlite3.Connection, leases: LeaseTable, feed: WatchFeed, last_lease_id: int) -> None:
+        """Start the writer thread, which has exclusive use of `connection` from now on."""
         self._connection = connection
         self._leases = leases
         self._feed = feed
-        self._last_lease = last_lease
-        self._waiting: queue.Queue[_Pending | None] = queue.Queue(MOST_WAITING)  # None: the end
-        self.commits = 0  # since the start
-        self.failing: str | None = None  # why the disk refuses, while it does
+        self._last_lease_id = last_lease_id
+        self._queue: queue.Queue[_Pending | None] = queue.Queue(MAX_QUEUED_OPERATIONS)  # None ends the writer thread
+        self.commit_count = 0  # since the start
+        self.write_error: str | None = None  # the last commit's error; None while commits succeed
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
     def execute(self, operation: Operation, timeout: float) -> int:
-        """The operation's result once it is durable.
+        """Execute an operation and return its result once it is durable.
 
-        Raises what the operation raises, StoreUnavailableError, or TimeoutError if the outcome isn't known within
-        `timeout` seconds: it may be executed still.
+        Raises what the operation raises, StoreUnavailableError, or TimeoutError if the outcome is unknown after
+        `timeout` seconds: the operation may still be executed.
         """
         pending = _Pending(operation)
         try:
-            self._waiting.put_nowait(pending)
+            self._queue.put_nowait(pending)
         except queue.Full:
-            raise StoreUnavailableError("too many changes are waiting") from None
-        return pending.answer.result(timeout)
+            raise StoreUnavailableError("the commit queue is full") from None
+        return pending.future.result(timeout)
 
     def close(self) -> bool:
-        """Execute what is waiting and end the thread; False if it has ended before."""
+        """Execute the queued operations and end the writer thread; return False if it has ended before."""
         if not self._thread.is_alive():
             return False
-        self._waiting.put(None)
+        self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
         return True
 
-    # The thread
+    # The writer thread
 
     def _run(self) -> None:
         last = time.monotonic()
@@ -100,53 +102,53 @@
         while not closing:
             batch, closing = self._next_batch()
             now = time.monotonic()
-            if now - last > STANDSTILL_S:
-                log.info("stood still for %.1f s: all leases have their full time again", now - last)
-                self._leases.restart_all()
+            if now - last > PAUSE_THRESHOLD_S:
+                log.info("the process was paused for %.1f s; all leases get their full lifetime again", now - last)
+                self._leases.extend_all()
             last = now
-            if self._leases.expired():
-                batch.append(_Pending(EndExpiredLeases()))
+            if self._leases.ending():
+                batch.append(_Pending(DeleteEndedLeases()))
             if batch:
                 self._commit(batch)
-                last = max(last, time.monotonic() - STANDSTILL_S)  # a slow disk isn't a standstill
+                last = max(last, time.monotonic() - PAUSE_THRESHOLD_S)  # a slow commit doesn't count as a pause
 
     def _next_batch(self) -> tuple[list[_Pending], bool]:
-        """What is waiting, or nothing after a tick; and whether the end has come."""
+        """Return the queued operations (none if a tick passes without any), and whether the queue was closed."""
         batch: list[_Pending] = []
         with contextlib.suppress(queue.Empty):
-            pending = self._waiting.get(timeout=TICK_S)
+            pending = self._queue.get(timeout=TICK_S)
             while pending is not None:
                 batch.append(pending)
                 if len(batch) >= MAX_OPERATIONS_PER_COMMIT:
                     return batch, False
-                pending = self._waiting.get_nowait()
+                pending = self._queue.get_nowait()
             return batch, True
         return batch, False
 
     def _commit(self, batch: list[_Pending]) -> None:
-        commit = Commit(self._connection, self._leases, self._feed.revision, self._last_lease)
+        commit = Commit(self._connection, self._leases, self._feed.revision, self._last_lease_id)
         try:
             outcomes = self._write(commit, batch)
         except sqlite3.Error as error:
             self._roll_back(error)
             for pending in batch:
-                pending.answer.set_exception(StoreUnavailableError(str(error)))
+                pending.future.set_exception(StoreUnavailableError(str(error)))
             return
-        self._last_lease = commit.last_lease
-        self.commits += 1
-        if self.failing:
-            log.info("the disk takes changes again")
-            self.failing = None
-            self._leases.restart_all()  # it was an outage for those who extend by writing
-        for step in commit.when_durable:
-            step()
-        # watches learn of it before it is answered, so that a read after the answer has it
+        self._last_lease_id = commit.last_lease_id
+        self.commit_count += 1
+        if self.write_error:
+            log.info("commits succeed again")
+            self.write_error = None
+            self._leases.extend_all()  # holders that extend their leases by writing could not do so
+        for callback in commit.after_commit:
+            callback()
+        # Watches get the changes before the operations are answered, so that a read after an answer sees them.
         self._feed.publish(commit.changes, commit.revision)
         for outcome in outcomes:
-            outcome.answer()
+            outcome.deliver()
 
     def _write(self, commit: Commit, batch: list[_Pending]) -> list[_Outcome]:
-        """Returns once all is durable. Raises sqlite3.Error, and nothing of it is executed then."""
+        """Return once the whole batch is durable. Raises sqlite3.Error; none of the batch is executed then."""
         self._connection.execute("BEGIN IMMEDIATE")
         outcomes = [_apply(commit, pending) for pending in batch]
         if commit.revision != self._feed.revision:
@@ -157,19 +159,20 @@
         return outcomes
 
     def _roll_back(self, error: sqlite3.Error) -> None:
-        if self.failing != str(error):
-            log.error("the disk refuses changes: %s", error)
-            self.failing = str(error)
+        if self.write_error != str(error):
+            log.error("commit failed: %s", error)
+            self.write_error = str(error)
         try:
             if self._connection.in_transaction:
                 self._connection.execute("ROLLBACK")
         except sqlite3.Error as second:
-            log.error("rollback: %s", second)
-        time.sleep(TICK_S)  # no busy loop on a disk that is full
+            log.error("rollback failed: %s", second)
+        time.sleep(TICK_S)  # avoids a busy loop while the disk is full
 
 
 def _apply(commit: Commit, pending: _Pending) -> _Outcome:
     try:
         return _Outcome(pending, result=pending.operation.apply(commit))
-    except (ConditionFailedError, LeaseEndedError) as refusal:
-        return _Outcome(pending, refusal=refusal)  # raised before its first write: the others go on
+    except (ConditionFailedError, LeaseEndedError) as error:
+        # Raised before the operation's first write, so the rest of the batch isn't affected.
+        return _Outcome(pending, error=error)
--- a/tidebend/kvstore/directory_lock.py
+++ b/tidebend/kvstore/directory_lock.py
@@ -1,4 +1,4 @@
-"""A lock on a directory, for one process at a time."""
+"""An exclusive lock on a directory, between processes."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class DirectoryLock:
-    """Kept as long as the process lives; the kernel releases it when the process ends, however it ends."""
+    """An exclusive lock that the kernel releases when the process ends, however it ends."""
 
     def __init__(self, directory: Path) -> None:
-        """Makes the directory if there is none. Raises DirectoryLockedError if another process holds it."""
+        """Acquire the lock; create the directory if needed. Raises DirectoryLockedError if another process holds it."""
         directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         self._file = os.open(directory / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._file)
-            raise DirectoryLockedError(f"{directory}: another process holds it") from error
+            raise DirectoryLockedError(f"{directory}: another process holds the lock on this directory") from error
 
     def release(self) -> None:
-        """Let another process have the directory; to be called once."""
+        """Release the lock. Must be called at most once."""
         os.close(self._file)
--- a/tidebend/kvstore/in_process.py
+++ b/tidebend/kvstore/in_process.py
@@ -1,4 +1,4 @@
-"""The state service without a socket between: what a controller in the same process has for a client."""
+"""A client of the key-value store for a controller in the same process, without a socket."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class InProcessClient:
-    """Takes the place of `transport.HttpClient`, with the same answers and errors."""
+    """A drop-in replacement for `transport.HttpClient`, with the same answers and errors."""
 
     def __init__(self, service: StoreService) -> None:
-        """Requests go to this service, in the caller's thread."""
+        """Serve requests by this service, in the caller's thread."""
         self._service = service
 
     def request(self, method: str, path: str, body: Any = None, timeout: float = 2.0) -> tuple[int, Any]:
-        """The status and the body of the answer. Raises NoAnswerError if the outcome isn't known in time."""
+        """Return the status and body of the answer. Raises NoAnswerError if the outcome is unknown after `timeout`."""
         try:
             return self._service.handle(method, path, body, timeout)
         except TimeoutError as error:
-            raise NoAnswerError("the outcome isn't known yet") from error
+            raise NoAnswerError("outcome unknown: the store didn't answer in time") from error
--- a/tidebend/kvstore/leases.py
+++ b/tidebend/kvstore/leases.py
@@ -1,7 +1,7 @@
-"""Leases on the monotonic clock: which are live, and which have expired.
+"""Lease expiry on the monotonic clock.
 
-A wall clock that is set back changes nothing here. What is durable of a lease (that it exists, and its lifetime) is in
-the database; when it expires is not, since after an outage every lease has its full lifetime again.
+Steps of the wall clock have no effect. The database holds that a lease exists and its lifetime, but not when it
+expires: after an outage every lease gets its full lifetime again.
 """
 
 from __future__ import annotations
@@ -15,69 +15,71 @@
 class Lease:
     """A live lease."""
 
-    life_s: float
-    expires_at: float  # monotonic time
+    lifetime_s: float
+    expires_at: float  # on the monotonic clock
 
 
-class LeaseClock:
-    """Tells when leases expire. Safe for use by several threads.
+class LeaseTable:
+    """The live leases, and those whose end isn't durable yet. Thread-safe.
 
-    A lease that has expired or was ended stays `expired` until `forget` says that its end is durable; meanwhile nobody
-    can extend it or attach keys to it.
+    A lease that has expired or was ended is `ending` until `confirm_ended` is called once its end is durable. Meanwhile
+    it can't be extended, and no keys can be attached to it.
     """
 
-    def __init__(self, lives_ms: dict[int, int]) -> None:
-        """Leases by number, with their lifetimes in milliseconds, which all begin now."""
+    def __init__(self, lifetimes_ms: dict[int, int]) -> None:
+        """Start the lifetime of each lease now. `lifetimes_ms`: by lease ID, in milliseconds."""
         now = time.monotonic()
         self._lock = threading.Lock()
-        self._live = {number: Lease(life / 1000.0, now + life / 1000.0) for number, life in lives_ms.items()}
-        self._expired: set[int] = set()
+        self._live = {
+            lease_id: Lease(lifetime / 1000.0, now + lifetime / 1000.0) for lease_id, lifetime in lifetimes_ms.items()
+        }
+        self._ending: set[int] = set()
 
-    def add(self, number: int, life_ms: int) -> None:
-        """A lease that was granted; its lifetime begins now."""
+    def add(self, lease_id: int, lifetime_ms: int) -> None:
+        """Add a granted lease, whose lifetime begins now."""
         with self._lock:
-            self._live[number] = Lease(life_ms / 1000.0, time.monotonic() + life_ms / 1000.0)
+            self._live[lease_id] = Lease(lifetime_ms / 1000.0, time.monotonic() + lifetime_ms / 1000.0)
 
-    def extend(self, number: int) -> bool:
-        """Give a lease its full lifetime from now on; False if it isn't live."""
+    def extend(self, lease_id: int) -> bool:
+        """Restart a lease's lifetime; return False if it isn't live."""
         with self._lock:
-            lease = self._live.get(number)
+            lease = self._live.get(lease_id)
             if lease is None or lease.expires_at < time.monotonic():
                 return False
-            lease.expires_at = time.monotonic() + lease.life_s
+            lease.expires_at = time.monotonic() + lease.lifetime_s
             return True
 
-    def is_live(self, number: int) -> bool:
-        """Whether keys may be attached to it."""
+    def is_live(self, lease_id: int) -> bool:
+        """Return whether the lease is live, so that keys may be attached to it."""
         with self._lock:
-            lease = self._live.get(number)
+            lease = self._live.get(lease_id)
             return lease is not None and lease.expires_at >= time.monotonic()
 
-    def expired(self) -> set[int]:
-        """Those whose end has to be made durable; they are returned again until `forget` is called."""
+    def ending(self) -> set[int]:
+        """Return the leases whose end isn't durable yet, including those that have expired since the last call."""
         now = time.monotonic()
         with self._lock:
-            for number in [number for number, lease in self._live.items() if lease.expires_at < now]:
-                del self._live[number]
-                self._expired.add(number)
-            return set(self._expired)
+            for lease_id in [lease_id for lease_id, lease in self._live.items() if lease.expires_at < now]:
+                del self._live[lease_id]
+                self._ending.add(lease_id)
+            return set(self._ending)
 
-    def end(self, number: int) -> bool:
-        """End one at its holder's wish; False if it isn't there."""
+    def end(self, lease_id: int) -> bool:
+        """End a lease before it expires; return False if there is no such lease."""
         with self._lock:
-            if self._live.pop(number, None) is None:
+            if self._live.pop(lease_id, None) is None:
                 return False
-            self._expired.add(number)
+            self._ending.add(lease_id)
             return True
 
-    def forget(self, numbers: set[int]) -> None:
-        """The end of these is durable."""
+    def confirm_ended(self, lease_ids: set[int]) -> None:
+        """Remove leases whose end is durable."""
         with self._lock:
-            self._expired -= numbers
+            self._ending -= lease_ids
 
-    def restart_all(self) -> None:
-        """Give all live leases their full lifetime: after an outage, in which nobody could extend them."""
+    def extend_all(self) -> None:
+        """Restart the lifetime of all live leases, after an outage in which nobody could extend them."""
         now = time.monotonic()
         with self._lock:
             for lease in self._live.values():
-                lease.expires_at = now + lease.life_s
+                lease.expires_at = now + lease.lifetime_s
--- a/tidebend/kvstore/reads.py
+++ b/tidebend/kvstore/reads.py
@@ -1,4 +1,4 @@
-"""Reads of the store: of what is durable, since another connection sees nothing else."""
+"""Reads of the store. They see durable writes only, since other connections don't see an open transaction."""
 
 from __future__ import annotations
 
@@ -10,35 +10,36 @@
 
 import msgspec
 
-from tidebend.kvstore.database import Row, connect, read_revision, rows_from
+from tidebend.kvstore.database import Row, connect, iterate_items, read_revision
 from tidebend.kvstore.errors import StoreUnavailableError
 from tidebend.kvstore.records import Item
 
 T = TypeVar("T")
 
-# Reads that run at the same time; others wait.
-CONNECTIONS = 4
-WAIT_S = 2.0
-# Of `all_items`: what is longer is read on.
+# Reads that run concurrently; others wait for a connection.
+MAX_CONCURRENT_READS = 4
+# How long a read waits for a connection.
+CONNECTION_WAIT_S = 2.0
+# Limits of a page in `all_items`.
 PAGE_ITEMS = 1000
 PAGE_BYTES = 1024 * 1024
-# What an item takes in an answer besides its key and value.
+# Estimated size of an item in an answer, beyond its key and value.
 ITEM_OVERHEAD_BYTES = 64
-# Greater than all that may follow a prefix.
-LAST_CHARACTER = "\U0010ffff"
+# The greatest code point: a prefix followed by it is greater than every key under the prefix.
+MAX_CODE_POINT = "\U0010ffff"
 
 
 class ReaderPool:
-    """Read-only connections that threads share. All reads raise StoreUnavailableError."""
+    """A pool of read-only connections. Reads raise StoreUnavailableError if they can't be served."""
 
     def __init__(self, directory: Path) -> None:
-        """Raises sqlite3.OperationalError."""
+        """Open the connections. Raises sqlite3.OperationalError."""
         self._connections: queue.LifoQueue[sqlite3.Connection] = queue.LifoQueue()
-        for _ in range(CONNECTIONS):
+        for _ in range(MAX_CONCURRENT_READS):
             self._connections.put(connect(directory, read_only=True))
 
     def get(self, key: str) -> tuple[Item | None, int]:
-        """The item and the revision at which it was read."""
+        """Return the item, None if there is none, and the revision at which it was read."""
 
         def read(connection: sqlite3.Connection) -> tuple[Item | None, int]:
             rows = connection.execute("SELECT key, value, version, lease FROM items WHERE key = ?", (key,))
@@ -47,20 +48,20 @@
 
         return self._read(read)
 
-    def items(self, prefix: str, after: str, most: int, most_bytes: int) -> tuple[list[Item], bool, int]:
-        """Items in key order, whether there are more, and the revision; all as of that revision.
+    def items(self, prefix: str, after: str, limit: int, max_bytes: int) -> tuple[list[Item], bool, int]:
+        """Return items in key order, whether there are more, and the revision of this snapshot.
 
-        At most `most` items of together `most_bytes`, but one at least, if there is one.
+        At most `limit` items with a total size of at most `max_bytes`, but at least one item if there is any.
         """
 
         def read(connection: sqlite3.Connection) -> tuple[list[Item], bool, int]:
             revision = read_revision(connection)
             found: list[Item] = []
             size = 0
-            for row in rows_from(connection, prefix, after):
+            for row in iterate_items(connection, prefix, after):
                 key, value, *_ = row
                 size += len(key) + len(value) + ITEM_OVERHEAD_BYTES
-                if len(found) >= most or (found and size > most_bytes):
+                if len(found) >= limit or (found and size > max_bytes):
                     return found, True, revision
                 found.append(_item(row))
             return found, False, revision
@@ -68,9 +69,9 @@
         return self._read(read)
 
     def all_items(self, prefix: str) -> Iterator[Item]:
-        """All items under a prefix in key order, however many: read a page at a time, each as of its own revision.
+        """Yield all items under a prefix in key order. Each page is read at a revision of its own.
 
-        Raises StoreUnavailableError on the way if a page can't be read.
+        Raises StoreUnavailableError during iteration if a page can't be read.
         """
         after = ""
         more = True
@@ -81,25 +82,25 @@
                 after = page[-1].key
 
     def count(self, prefix: str) -> int:
-        """How many items there are under a prefix."""
+        """Return the number of items under a prefix."""
 
         def read(connection: sqlite3.Connection) -> int:
-            bounds = (prefix, prefix + LAST_CHARACTER)
+            bounds = (prefix, prefix + MAX_CODE_POINT)
             return connection.execute("SELECT COUNT(*) FROM items WHERE key >= ? AND key < ?", bounds).fetchone()[0]
 
         return self._read(read)
 
     def close(self) -> None:
-        """Close the connections that aren't in use."""
+        """Close the idle connections."""
         while not self._connections.empty():
             self._connections.get().close()
 
     def _read(self, read: Callable[[sqlite3.Connection], T]) -> T:
-        """What `read` returns; all that it reads is as of the same revision."""
+        """Return the result of `read`, which is called with a connection in a read transaction (a single snapshot)."""
         try:
-            connection = self._connections.get(timeout=WAIT_S)
+            connection = self._connections.get(timeout=CONNECTION_WAIT_S)
         except queue.Empty:
-            raise StoreUnavailableError("too many reads are waiting") from None
+            raise StoreUnavailableError("too many concurrent reads: no connection became free") from None
         try:
             connection.execute("BEGIN")
             try:
--- a/tidebend/kvstore/records.py
+++ b/tidebend/kvstore/records.py
@@ -12,12 +12,12 @@
 
     key: str
     value: bytes | None  # JSON; None deletes
-    lease: int | None = None  # the item is deleted when this lease ends; None: attached to none
+    lease: int | None = None  # the item is deleted when this lease ends; None: attached to no lease
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """An item as it was read."""
+    """An item of the store."""
 
     key: str
     value: Any  # decoded JSON
@@ -27,8 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A durable change, for watches."""
+    """A durable change of one key, as watches receive it."""
 
     key: str
     value: bytes | None  # JSON; None: deleted
-    version: int  # the revision at which it happened
+    version: int  # the revision of the change
--- a/tidebend/kvstore/watch_feed.py
+++ b/tidebend/kvstore/watch_feed.py
@@ -1,4 +1,4 @@
-"""The last changes, for watches: bounded in number and bytes."""
+"""The most recent changes, for watches: a history bounded in number and bytes."""
 
 from __future__ import annotations
 
@@ -9,69 +9,69 @@
 from tidebend.kvstore.errors import RevisionTooOldError
 from tidebend.kvstore.records import Change
 
-# Whoever is further behind is told so (RevisionTooOldError), and reads all keys again.
+# A watch that is further behind gets RevisionTooOldError, and has to read its keys again.
 MAX_CHANGES = 10_000
-MOST_BYTES = 32 * 1024 * 1024  # of keys and values
+MAX_BYTES = 32 * 1024 * 1024  # of keys and values
 
 
 class WatchFeed:
-    """Keeps the last changes and wakes whoever waits for them. Safe for use by several threads.
+    """Keeps the most recent changes and wakes the watches that wait for them. Thread-safe.
 
-    Guarantees: a watch that continues from the revision it was given sees each change once, in order, or is told that
-    it is too far behind.
+    Guarantees: a watch that continues from the returned revision sees each change exactly once and in order, or gets
+    RevisionTooOldError.
     """
 
     def __init__(self, revision: int) -> None:
-        """Changes up to `revision` aren't known here."""
+        """Begin an empty history after `revision`; earlier changes aren't available."""
         self._changes: deque[Change] = deque()
         self._bytes = 0
-        self._floor = revision  # all later changes are known
+        self._discarded_revision = revision  # all later changes are in the history
         self.revision = revision
-        self._news = threading.Condition()
+        self._published = threading.Condition()
         self._closed = False
 
     def publish(self, changes: list[Change], revision: int) -> None:
-        """Add changes that are durable, in order, up to a revision."""
-        with self._news:
+        """Append durable changes, in order, and advance to `revision`."""
+        with self._published:
             for change in changes:
                 self._changes.append(change)
                 self._bytes += _size(change)
-            while len(self._changes) > MAX_CHANGES or self._bytes > MOST_BYTES:
+            while len(self._changes) > MAX_CHANGES or self._bytes > MAX_BYTES:
                 dropped = self._changes.popleft()
                 self._bytes -= _size(dropped)
-                self._floor = dropped.version
+                self._discarded_revision = dropped.version
             self.revision = revision
-            self._news.notify_all()
+            self._published.notify_all()
 
     def close(self) -> None:
-        """Wake all who wait; nobody waits any more."""
-        with self._news:
+        """Wake all waiting watches; later calls don't wait."""
+        with self._published:
             self._closed = True
-            self._news.notify_all()
+            self._published.notify_all()
 
     def changes_since(self, prefix: str, revision: int, wait_s: float) -> tuple[list[Change], int]:
-        """Changes under a prefix after a revision, waited for up to `wait_s`, and the revision to continue from.
+        """Return the changes under a prefix after a revision, and the revision to continue from.
 
-        Raises RevisionTooOldError.
+        Waits up to `wait_s` seconds for a first change. Raises RevisionTooOldError.
         """
         deadline = time.monotonic() + wait_s
-        with self._news:
+        with self._published:
             seen = revision
             while True:
-                if revision < self._floor:
+                if revision < self._discarded_revision:
                     raise RevisionTooOldError
                 found = self._after(prefix, seen)
                 if found:
                     return found, self.revision
-                # the first look reaches back to `revision`; later ones only at what has come since the last
+                # After the first pass only changes published since the previous pass are scanned.
                 seen = max(seen, self.revision)
-                left = deadline - time.monotonic()
-                if left <= 0 or self._closed:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or self._closed:
                     return [], self.revision
-                self._news.wait(left)
+                self._published.wait(remaining)
 
     def _after(self, prefix: str, revision: int) -> list[Change]:
-        """Under the lock: from the last change backwards, since a watch is rarely far behind."""
+        """Scan backwards from the last change, since a watch is rarely far behind. Caller holds the lock."""
         found = []
         for change in reversed(self._changes):
             if change.version <= revision:
--- a/tidebend/logs.py
+++ b/tidebend/logs.py
@@ -1,6 +1,6 @@
-"""Structured logs to standard error: lines for people, or JSON with `LOG_FORMAT=json`.
+"""Structured logs to standard error: human-readable lines, or JSON with `LOG_FORMAT=json`.
 
-For the control service, agents and clients; a controller on the platform (`run`) keeps to plain lines.
+Used by the control service, agents and clients; a controller on the platform (`run`) logs plain lines.
 """
 
 from __future__ import annotations
@@ -16,21 +16,22 @@
 
 
 def configure() -> None:
-    """Have everything logged to standard error, as much and in the form that LOG_LEVEL and LOG_FORMAT say."""
-    shared: list[Processor] = [
+    """Send all logs to standard error, with the level of LOG_LEVEL and in the format of LOG_FORMAT."""
+    common: list[Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
-    shown: list[Processor]
+    renderers: list[Processor]
     if os.environ.get("LOG_FORMAT") == "json":
-        shown = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+        renderers = [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     else:
-        shown = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), pad_event_to=0)]
+        renderers = [structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty(), pad_event_to=0)]
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
-            foreign_pre_chain=shared, processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *shown]
+            foreign_pre_chain=common,
+            processors=[structlog.stdlib.ProcessorFormatter.remove_processors_meta, *renderers],
         )
     )
     root = logging.getLogger()
