--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""Files and commands as a user meets them: what is wrong is told by line and field, and nothing is lost."""
+"""Settings files, job files and commands end to end: errors name line and field, and a restart loses nothing."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 from tidebend.client import main
 from tidebend.client.jobfile import read_jobs
 from tidebend.control import load_control_settings
-from tidebend.control.settings import State, Times
+from tidebend.control.settings import StoreSettings, Times
 from tidebend.hcl import HclFileError
 from tidebend.kvstore import Engine
 
@@ -28,7 +28,7 @@
 def test_the_files_under_deploy_hold_the_defaults():
     settings = load_control_settings(str(ROOT / "deploy/local.hcl"))
     assert settings.times == Times()
-    assert settings.state == State()
+    assert settings.state == StoreSettings()
     assert settings.controller_settings(1, "127.0.0.1").teams["everyone"].cpus_max is None
     assert load_agent_settings(str(ROOT / "deploy/agent.hcl")).kind == "local"
     jobs = {job.name: job for job in read_jobs(str(ROOT / "deploy/example-jobs.hcl"))}
@@ -96,10 +96,10 @@
 
 
 class Service:
-    def __init__(self, directory, *words):
+    def __init__(self, directory, *arguments):
         self.environment = {**os.environ, "TIDEBEND_DATA": str(directory), "COLUMNS": "200"}
         self.process = subprocess.Popen(
-            [sys.executable, "run.py", "up", *words],
+            [sys.executable, "run.py", "up", *arguments],
             cwd=ROOT,
             env=self.environment,
             stdout=subprocess.PIPE,
@@ -109,19 +109,19 @@
         while "serves on" not in self.process.stdout.readline():
             assert self.process.poll() is None
 
-    def __call__(self, *words, status=0):
-        done = subprocess.run(
-            [sys.executable, "run.py", *words],
+    def __call__(self, *arguments, status=0):
+        process = subprocess.run(
+            [sys.executable, "run.py", *arguments],
             cwd=ROOT,
             env=self.environment,
             capture_output=True,
             text=True,
             timeout=60,
         )
-        assert done.returncode == status, (words, done.stdout, done.stderr)
-        return done.stdout if status == 0 else done.stderr
+        assert process.returncode == status, (arguments, process.stdout, process.stderr)
+        return process.stdout if status == 0 else process.stderr
 
-    def end(self):
+    def stop(self):
         self.process.send_signal(signal.SIGINT)
         self.process.communicate(timeout=30)
         return self.process.returncode
@@ -156,49 +156,49 @@
         assert "vm-000001" in service("top", "--once")
         web = service("submit", "--kind", "service", "--cpus", "0.1", "--", "sleep", "1000").split()[0]
         assert "waiting" not in service("wait", "--timeout", "0.5", web, status=5)
-        # wrong words
+        # invalid commands and arguments
         assert "takes a job FILE" in service("submit", status=2)
         assert "unknown team" in service("submit", "--team", "nobody", "--", "true", status=4)
         assert "no allowed machine type fits" in service("submit", "--cpus", "9999", "--", "true", status=4)
         assert "no such job" in service("status", "req-nothing", status=1)
         assert "no job req-nothing" in service("logs", "req-nothing", status=1)
         assert "another process holds the lock on this directory" in service("up", status=2)
-        # keys are made once, rotated without stopping anything, and never shown
+        # keys are created once, can be rotated while the service runs, and are never printed
         secret = json.loads((tmp_path / "keys.json").read_text())["keys"][0]["secret"]
         assert secret not in service("keys", "show")
         assert "is there already" in service("keys", "make", status=3)
         service("keys", "rotate")
         time.sleep(1.0)
         assert service("cancel", web).split()[1] == "cancelled"
-        chain = json.loads(service("submit", "--json", "deploy/example-jobs.hcl"))
-        names = {row["name"]: row["job"] for row in chain}
+        submitted = json.loads(service("submit", "--json", "deploy/example-jobs.hcl"))
+        names = {row["name"]: row["job"] for row in submitted}
         service("wait", "--timeout", "40", names["build"], names["numbers"], names["together"])
         assert service("logs", names["build"]) == "built for market day\n"
     finally:
-        assert service.end() == 0
-    left = subprocess.run(["pgrep", "-f", str(tmp_path)], capture_output=True, text=True).stdout
-    assert left == ""
+        assert service.stop() == 0
+    leftover_processes = subprocess.run(["pgrep", "-f", str(tmp_path)], capture_output=True, text=True).stdout
+    assert leftover_processes == ""
     assert "refused" in service("list", "--patience", "0.2", status=3)
-    again = Service(tmp_path)
+    restarted = Service(tmp_path)
     try:
-        rows = {row["job"]: row["state"] for row in json.loads(again("list", "--json"))}
+        rows = {row["job"]: row["state"] for row in json.loads(restarted("list", "--json"))}
         assert rows[row["job"]] == "done"
         assert rows[web] == "cancelled"
         assert rows[names["web"]] in ("queued", "running")
-        assert again("cancel", names["web"]).split()[1] == "cancelled"
+        assert restarted("cancel", names["web"]).split()[1] == "cancelled"
     finally:
-        again.end()
+        restarted.stop()
 
 
 def test_a_port_in_use_is_told_and_nothing_is_left_half_started(tmp_path, capsys):
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
-        (tmp_path / "control.hcl").write_text(f'{MACHINE}listen = "127.0.0.1:{taken.getsockname()[1]}"\n')
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
+        (tmp_path / "control.hcl").write_text(f'{MACHINE}listen = "127.0.0.1:{occupied.getsockname()[1]}"\n')
         assert main(["up", "--data", str(tmp_path)]) == 2
         assert "Address already in use" in capsys.readouterr().err
     assert not (tmp_path / "address").exists()
-    Engine(tmp_path / "state").close()  # nobody holds it
+    Engine(tmp_path / "state").close()  # raises if the lock is still held
 
 
 @pytest.mark.timeout(60)
@@ -220,12 +220,12 @@
         assert row["state"] == "done"
         assert service("logs", row["job"]) == "inside\n"
         context = trusting(str(tmp_path / "tls/authority.pem"))
-        asked = urllib.request.Request(f"https://127.0.0.1:{metrics[1]}/metrics")
+        request = urllib.request.Request(f"https://127.0.0.1:{metrics[1]}/metrics")
         with pytest.raises(urllib.error.HTTPError, match="401"):
-            urllib.request.urlopen(asked, context=context)
-        asked.add_header("Authorization", f"Bearer {Keyring(tmp_path / 'keys.json').shown()}")
-        with urllib.request.urlopen(asked, context=context) as answer:
-            text = answer.read().decode()
+            urllib.request.urlopen(request, context=context)
+        request.add_header("Authorization", f"Bearer {Keyring(tmp_path / 'keys.json').shown()}")
+        with urllib.request.urlopen(request, context=context) as response:
+            text = response.read().decode()
         assert "tidebend_machines 1.0" in text
         assert "tidebend_turned_away_total" in text
         address, other = (tmp_path / "address").read_text().split()[0], tmp_path / "o/tls/authority.pem"
@@ -234,4 +234,4 @@
             "list", "--control", address, "--authority", str(other), "--patience", "0.2", status=3
         )
     finally:
-        assert service.end() == 0
+        assert service.stop() == 0
--- a/tidebend/control/__init__.py
+++ b/tidebend/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control service: durable state, a controller and the local provider in one process, behind one keyed door."""
+"""The control service: key-value store, controller and local provider in one process, behind an authenticated API."""
 
 from tidebend.control.main import run_control
 from tidebend.control.settings import ControlSettings, load_control_settings
--- a/tidebend/control/bootstrap.py
+++ b/tidebend/control/bootstrap.py
@@ -1,14 +1,14 @@
-"""The first start: settings for this machine, written where the user finds them."""
+"""Default settings for this machine, written to the data directory at the first start."""
 
 from __future__ import annotations
 
 import os
 from pathlib import Path
 
-FILE = "control.hcl"
-AGENTS = 3
+SETTINGS_FILE = "control.hcl"
+DEFAULT_AGENTS = 3
 
-TEXT = """# Made at the first `tidebend up`; yours to change. Every setting is explained in deploy/local.hcl.
+TEMPLATE = """# Created by the first `tidebend up`; edit it as needed. All settings are described in deploy/local.hcl.
 listen = "127.0.0.1:0"
 
 machine "local" {{
@@ -23,11 +23,15 @@
 
 
 def ensure_settings_file(directory: Path) -> Path:
-    """The directory's settings; made from what this machine has if there are none yet."""
-    path = directory / FILE
+    """Return the path of the directory's settings file; create it, with this machine's resources, if there is none."""
+    path = directory / SETTINGS_FILE
     if not path.exists():
         directory.mkdir(parents=True, exist_ok=True, mode=0o700)
-        cpus = max(1.0, (os.cpu_count() or 1) / AGENTS)
+        cpus = max(1.0, (os.cpu_count() or 1) / DEFAULT_AGENTS)
         memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") / 1024**3
-        path.write_text(TEXT.format(cpus=round(cpus, 2), memory_gb=round(0.8 * memory / AGENTS, 2), agents=AGENTS))
+        path.write_text(
+            TEMPLATE.format(
+                cpus=round(cpus, 2), memory_gb=round(0.8 * memory / DEFAULT_AGENTS, 2), agents=DEFAULT_AGENTS
+            )
+        )
     return path
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -1,4 +1,4 @@
-"""Prometheus metrics of the control service, computed when they are asked for, so that they cost nothing otherwise."""
+"""Prometheus metrics of the control service, computed on each scrape."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from tidebend.provider import Provider
 from tidebend.transport import Reply
 
-PATH = "/metrics"
+METRICS_PATH = "/metrics"
 
 
 class Metrics:
-    """A collector in prometheus-client's sense."""
+    """A collector of prometheus-client."""
 
-    def __init__(self, engine: Engine, controller: Controller, provider: Provider, gate: AuthenticatedServer) -> None:
+    def __init__(self, engine: Engine, controller: Controller, provider: Provider, server: AuthenticatedServer) -> None:
         self._engine = engine
         self._controller = controller
         self._provider = provider
-        self._gate = gate
+        self._server = server
         self._registry = CollectorRegistry()
         self._registry.register(self)
 
@@ -35,47 +35,55 @@
         return Reply(200, generate_latest(self._registry), content_type=CONTENT_TYPE_LATEST)
 
     def collect(self) -> Iterator[Metric]:
-        """Return the metrics as they are now."""
-        jobs = GaugeMetricFamily("tidebend_jobs", "Jobs that aren't over, by kind and state.", labels=["kind", "state"])
-        counted: Counter[tuple[str, str]] = Counter()
-        waiting = 0
+        """Yield the current metrics."""
+        jobs = GaugeMetricFamily(
+            "tidebend_jobs", "Jobs that haven't ended, by kind and state.", labels=["kind", "state"]
+        )
+        jobs_by_kind: Counter[tuple[str, str]] = Counter()
+        pending_tasks = 0
         for job in self._controller.job_cache.live_jobs():
-            counted[job.spec.kind, "running" if job.allocated_count else "queued"] += 1
-            waiting += job.pending.bit_count()
-        for (kind, state), number in sorted(counted.items()):
-            jobs.add_metric([kind, state], number)
+            jobs_by_kind[job.spec.kind, "running" if job.allocated_count else "queued"] += 1
+            pending_tasks += job.pending.bit_count()
+        for (kind, state), count in sorted(jobs_by_kind.items()):
+            jobs.add_metric([kind, state], count)
         yield jobs
-        yield GaugeMetricFamily("tidebend_tasks_waiting", "Tasks that no machine was claimed for yet.", waiting)
+        yield GaugeMetricFamily("tidebend_tasks_waiting", "Tasks without an allocation.", pending_tasks)
 
         now = time.monotonic()
-        tasks: Counter[str] = Counter()
-        silent = GaugeMetricFamily(
-            "tidebend_machine_silent_seconds", "Since a machine last reported.", labels=["machine", "type"]
+        tasks_by_state: Counter[str] = Counter()
+        report_age = GaugeMetricFamily(
+            "tidebend_machine_silent_seconds", "Seconds since the last report of a machine.", labels=["machine", "type"]
         )
-        heard = {machine.name: machine for machine in self._controller.machine_registry.all()}
+        registered = {machine.name: machine for machine in self._controller.machine_registry.all()}
         machines = self._provider.machines()
         for name, machine in sorted(machines.items()):
-            known = heard.get(name)
+            known = registered.get(name)
             if known is not None:
-                silent.add_metric([name, machine.kind], now - known.last_heartbeat)
-                tasks.update(task.state for task in list(known.tasks.values()))
-        yield silent
-        yield GaugeMetricFamily("tidebend_machines", "Machines that aren't gone.", len(machines))
+                report_age.add_metric([name, machine.kind], now - known.last_heartbeat)
+                tasks_by_state.update(task.state for task in list(known.tasks.values()))
+        yield report_age
+        yield GaugeMetricFamily("tidebend_machines", "Machines that haven't been released.", len(machines))
         states = GaugeMetricFamily("tidebend_tasks", "Tasks on machines, by state.", labels=["state"])
-        for state, number in sorted(tasks.items()):
-            states.add_metric([state], number)
+        for state, count in sorted(tasks_by_state.items()):
+            states.add_metric([state], count)
         yield states
 
-        yield CounterMetricFamily("tidebend_state_revision", "Revision of the state.", self._engine.feed.revision)
         yield CounterMetricFamily(
-            "tidebend_state_syncs", "Syncs of the state's file since the start.", self._engine.syncs
+            "tidebend_state_revision", "Revision of the key-value store.", self._engine.feed.revision
+        )
+        yield CounterMetricFamily(
+            "tidebend_state_syncs", "Disk syncs of the key-value store since the start.", self._engine.syncs
         )
         yield GaugeMetricFamily(
-            "tidebend_state_refusing", "1 while the disk refuses changes.", float(self._engine.write_error is not None)
+            "tidebend_state_refusing",
+            "1 while commits of the key-value store fail.",
+            float(self._engine.write_error is not None),
         )
         yield CounterMetricFamily(
-            "tidebend_turned_away", "Requests without a good key since the start.", self._gate.refused
+            "tidebend_turned_away", "Requests without a valid key since the start.", self._server.refused
         )
         yield GaugeMetricFamily(
-            "tidebend_leads", "1 while the controller leads.", float(self._controller.coordinator.term is not None)
+            "tidebend_leads",
+            "1 while the controller is the leader.",
+            float(self._controller.coordinator.term is not None),
         )
--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -1,4 +1,4 @@
-"""The control service's settings: an HCL file, checked, and from it the settings of the controller in it."""
+"""The control service's settings, read from an HCL file, and the settings of its controller derived from them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86400)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
-CONTROLLER = "control"
-# of what the embedded service takes, when nothing else is said
-VALUE_KB = 32.0
-TXN_OPS = 64
-# five for each machine of a fleet of 4,000; an agent holds one or two, and each is an open file
-MOST_CONNECTIONS = 20_000
-# ends are gathered for this share of a lease
-GATHER = 0.01
+CONTROLLER_NAME = "control"
+# Default limits of the embedded key-value store.
+DEFAULT_VALUE_KB = 32.0
+DEFAULT_TRANSACTION_WRITES = 64
+# Five for each machine of a fleet of 4,000; an agent uses one or two, and each is an open file.
+MAX_CONNECTIONS = 20_000
+# Completions are gathered for this share of a lease before they are recorded.
+GATHER_LEASE_SHARE = 0.01
 
 
 class Times(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What holds between agents and the controller."""
+    """Intervals and timeouts between agents and the controller."""
 
     report_s: Seconds = 1.0
     lease_s: Seconds = 15.0
@@ -34,31 +34,31 @@
     gang_peer_s: Seconds = 5.0
     cancel_s: Seconds = 40.0
 
-    def wrong(self) -> tuple[str, str] | None:
-        """A field and what is wrong with it."""
+    def validation_error(self) -> tuple[str, str] | None:
+        """Return the name of an invalid field and what was expected; None if all are valid."""
         if self.lease_s < 4 * self.report_s:
             return "lease_s", f"expected at least four times report_s ({4 * self.report_s:g})"
-        least = 1.5 * self.lease_s + 2 * self.report_s
-        if self.cancel_s < least:
+        minimum = 1.5 * self.lease_s + 2 * self.report_s
+        if self.cancel_s < minimum:
             return (
                 "cancel_s",
-                f"expected at least 1.5 lease_s and 2 report_s ({least:g}): a silent agent's tasks end no sooner",
+                f"expected at least 1.5 lease_s and 2 report_s ({minimum:g}): unreachable agents stop tasks no sooner",
             )
         return None
 
 
-class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the embedded state service takes, a second or at a time."""
+class StoreSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """Rate and size limits of the embedded key-value store, and where it listens."""
 
     requests_per_s: Amount = 4000.0
     changes_per_s: Amount = 2000.0
-    value_kb: Annotated[float, msgspec.Meta(ge=1, le=64)] = VALUE_KB
-    changes_a_transaction: Annotated[int, msgspec.Meta(ge=4, le=1000)] = TXN_OPS
-    listen: str = ""  # empty: only for the controller in this process
+    value_kb: Annotated[float, msgspec.Meta(ge=1, le=64)] = DEFAULT_VALUE_KB
+    changes_a_transaction: Annotated[int, msgspec.Meta(ge=4, le=1000)] = DEFAULT_TRANSACTION_WRITES
+    listen: str = ""  # HOST:PORT; empty: reachable only for the controller in this process
 
 
 class TeamLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a team is guaranteed and may at most use; a limit of 0 is none."""
+    """The guarantees and limits of a team; a limit of 0 means no limit."""
 
     cpus: Amount = 0.0
     gpus: Amount = 0.0
@@ -67,7 +67,7 @@
 
 
 class ControlSettings(msgspec.Struct, frozen=True):
-    """The settings of a control service, as its file has them."""
+    """The settings of a control service, as given in its file."""
 
     listen: str
     metrics_listen: str
@@ -76,21 +76,21 @@
     agents_alone_leases: float
     connections: int
     times: Times
-    state: State
+    state: StoreSettings
     machines: dict[str, Kind]
     teams: dict[str, TeamLimits]
     tls: Tls | None
 
     def controller_settings(self, port: int, host: str) -> Settings:
-        """The settings of the controller in this process, in the platform's terms."""
-        own = f"{host}:{port}"
+        """Return the settings of the controller in this process, in the format of the platform's settings file."""
+        address = f"{host}:{port}"
         table = {
-            "member": CONTROLLER,
+            "member": CONTROLLER_NAME,
             "site": self.zone,
-            "serve_on": own,
-            "peer_bind": own,
+            "serve_on": address,
+            "peer_bind": address,
             "peers": [],
-            # never connected to: both are in this process
+            # Placeholders that are never connected to: store and provider are in this process.
             "outside": {"state": "inside:1", "cloud": "inside:2"},
             "deployment": {
                 "size": 1,
@@ -109,38 +109,38 @@
                 "resources": {"max_sockets": self.connections},
             },
         }
-        # a machine boots in a second by what the provider says, so this many of these are kept; and changes of the
-        # state are cheap here, so that ends needn't be gathered for long
-        return read_settings(table, Knobs(keep_idle=self.keep_idle_s, gather=GATHER))
+        # `keep_idle` is a multiple of a machine's boot time, which the provider gives as one second. Writes to the
+        # embedded store are cheap, so completions needn't be gathered for long.
+        return read_settings(table, Knobs(keep_idle=self.keep_idle_s, gather=GATHER_LEASE_SHARE))
 
 
-class _Top(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class _TopLevel(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     listen: str = "127.0.0.1:0"
     metrics_listen: str = ""
     zone: Name = "here"
     keep_idle_s: Annotated[float, msgspec.Meta(ge=1, le=900_000)] = 900_000.0
     agents_alone_leases: Annotated[float, msgspec.Meta(ge=0)] = 40.0
-    # Not bounded by threads, of which the main interface has some 1,450 to 1,700 (`controller/connection_limits.py`)
-    # and each other one a hundred (`control/main.py`). A connection has a thread of its own while no more than three
-    # quarters of these are in use, after that only for its requests (`transport/server.py`).
-    connections: Annotated[int, msgspec.Meta(ge=64, le=MOST_CONNECTIONS)] = 1000
+    # Not bounded by the threads, of which the main server has 1,450 to 1,700 (`controller/connection_limits.py`) and
+    # each auxiliary server 100 (`control/main.py`). A connection keeps a thread of its own while at most three quarters
+    # of them are in use; beyond that it has one only during its requests (`transport/server.py`).
+    connections: Annotated[int, msgspec.Meta(ge=64, le=MAX_CONNECTIONS)] = 1000
 
 
 BLOCKS = ("times", "state", "machine", "team", "tls")
 
 
 def load_control_settings(path: str) -> ControlSettings:
-    """Raises HclFileError, which names line, field and what was expected."""
+    """Read and validate a settings file. Raises HclFileError, which names line, field and what was expected."""
     file = HclFile(path)
-    plain = {name: value for name, value in file.values.items() if name not in BLOCKS}
-    top = file.check(plain, _Top)
+    top_values = {name: value for name, value in file.values.items() if name not in BLOCKS}
+    top = file.check(top_values, _TopLevel)
     times = file.block("times", Times)
-    wrong = times.wrong()
-    if wrong:
-        raise file.error(("times", wrong[0]), wrong[1])
-    state = file.block("state", State)
+    invalid = times.validation_error()
+    if invalid:
+        raise file.error(("times", invalid[0]), invalid[1])
+    state = file.block("state", StoreSettings)
     tls = file.block("tls", Tls) if "tls" in file.values else None
-    for where, text in (
+    for field_path, text in (
         (("listen",), top.listen),
         (("metrics_listen",), top.metrics_listen or "127.0.0.1:0"),
         (("state", "listen"), state.listen or "127.0.0.1:0"),
@@ -148,7 +148,7 @@
         try:
             parse_listen_address(text, tls is not None)
         except (ValueError, NotLoopbackError) as error:
-            raise file.error(where, str(error)) from error
+            raise file.error(field_path, str(error)) from error
     machines = file.labelled_blocks("machine", Kind)
     if not machines:
         raise file.error(("machine",), 'expected at least one machine "NAME" { cpus = ... memory_gb = ... }')
