--- a/tidebend/control/api.py
+++ b/tidebend/control/api.py
@@ -16,7 +16,7 @@
 from tidebend.control.gang_barrier import GangBarriers
 from tidebend.controller import Controller
 from tidebend.kvstore import ConditionFailedError, Engine, StoreUnavailableError, Write
-from tidebend.messages import Description, GangMemberStatus, Joined, Joining, paths
+from tidebend.messages import Description, GangMemberStatus, JoinRequest, JoinResponse, paths
 from tidebend.protocol import is_job_id
 from tidebend.protocol import user as user_protocol
 from tidebend.provider import JoinRefusedError, MachineGoneError, Provider
@@ -51,15 +51,15 @@
         engine: Engine,
         controller: Controller,
         provider: Provider,
-        join_answer: Callable[[str], Joined],
+        join_response: Callable[[str], JoinResponse],
         connect: Callable[[tuple[str, int]], KeyedClient],
         gang_peer_s: float,
     ) -> None:
-        """`join_answer` returns the answer, but for the name, to an agent that joins as a machine of the given type."""
+        """`join_response` returns the answer, without the name, to an agent that joins as the given machine type."""
         self._engine = engine
         self._controller = controller
         self._provider = provider
-        self._join_answer = join_answer
+        self._join_response = join_response
         self._connect = connect
         self._gang_barriers = GangBarriers(gang_peer_s, self._gang_is_done, self._record_gang_done)
         # By method, collection (the first segment of the path), and whether a name follows it.
@@ -80,7 +80,7 @@
     def route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
         """Serve a request. `path` includes the query."""
         path, _, query = path.partition("?")
-        collection, _, rest = path[len(paths.DESK) :].partition("/")
+        collection, _, rest = path[len(paths.CONTROL_API) :].partition("/")
         arguments = {key: values[-1] for key, values in parse_qs(query, max_num_fields=16).items()}
         handler = self._handlers.get((method, collection, bool(rest)))
         if handler is None:
@@ -242,14 +242,14 @@
         return rows
 
     def _join(self, raw: bytes) -> Reply:
-        joining = msgspec.json.decode(raw, type=Joining)
+        request = msgspec.json.decode(raw, type=JoinRequest)
         try:
-            name = self._provider.join(joining.nonce, joining.kind, joining.label, joining.left)
+            name = self._provider.join(request.nonce, request.kind, request.label, request.left)
         except MachineGoneError as error:
             return Reply(410, {"error": str(error)})
         except JoinRefusedError as error:
             return Reply(409, {"error": str(error)})
-        return Reply(200, msgspec.to_builtins(msgspec.structs.replace(self._join_answer(joining.kind), machine=name)))
+        return Reply(200, msgspec.to_builtins(msgspec.structs.replace(self._join_response(request.kind), machine=name)))
 
     # Gangs
 
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -18,7 +18,7 @@
 from tidebend.control.settings import CONTROLLER_NAME, ControlSettings
 from tidebend.controller import Controller, connection_limits
 from tidebend.kvstore import Engine, InProcessClient, StoreService
-from tidebend.messages import Joined, paths
+from tidebend.messages import JoinResponse, paths
 from tidebend.provider import AgentProcesses, Provider
 from tidebend.settings import StoreLimits
 from tidebend.transport import Reply
@@ -64,7 +64,7 @@
         if not keys.exists():
             create_keyring(keys)
         self.keyring = Keyring(keys)
-        self._tls = settings.tls.client() if settings.tls else None
+        self._tls = settings.tls.client_context() if settings.tls else None
         state = settings.state
         limits = StoreLimits(
             state.requests_per_s, state.changes_per_s, int(state.value_kb * 1024), state.changes_a_transaction
@@ -93,7 +93,7 @@
         )
         self.controller = Controller(own_settings, self._connector(own_settings.state, own_settings.cloud))
         self.api = ControlApi(
-            self.engine, self.controller, self.provider, self._join_answer, self._connect, settings.times.gang_peer_s
+            self.engine, self.controller, self.provider, self._join_response, self._connect, settings.times.gang_peer_s
         )
         self.servers = [self.server]
         if state.listen:
@@ -133,7 +133,7 @@
                 2.0 * self.settings.times.lease_s,
                 BODY_TIMEOUT_S,
                 self.settings.connections,
-                self.settings.tls.server() if self.settings.tls else None,
+                self.settings.tls.server_context() if self.settings.tls else None,
                 max(MIN_BACKLOG, int(connection_limits.BACKLOG_SHARE * self.settings.connections)),
                 threads,
             )
@@ -143,7 +143,7 @@
             ) from error
 
     def _connect(self, address: tuple[str, int], max_idle: int = 1) -> KeyedClient:
-        return KeyedClient(address, self.keyring.shown, max_idle, self._tls)
+        return KeyedClient(address, self.keyring.bearer_token, max_idle, self._tls)
 
     def _connector(self, state: tuple[str, int], cloud: tuple[str, int]) -> Callable[..., Any]:
         """Return the controller's connect function: store and provider are called in process, agents over HTTP."""
@@ -154,9 +154,9 @@
 
         return connect
 
-    def _join_answer(self, kind: str) -> Joined:
+    def _join_response(self, kind: str) -> JoinResponse:
         times, resources = self.settings.times, self.provider.terms(kind)
-        return Joined(
+        return JoinResponse(
             "",
             self.settings.zone,
             times.report_s,
@@ -170,7 +170,7 @@
         )
 
     def _route(self, method: str, path: str, body: Callable[[], bytes]) -> Reply:
-        if path.startswith(paths.DESK):
+        if path.startswith(paths.CONTROL_API):
             return self.api.route(method, path, body)
         return self.controller.route(method, path, body)
 
--- a/tidebend/control/metrics.py
+++ b/tidebend/control/metrics.py
@@ -80,7 +80,7 @@
             float(self._engine.write_error is not None),
         )
         yield CounterMetricFamily(
-            "tidebend_turned_away", "Requests without a valid key since the start.", self._server.refused
+            "tidebend_turned_away", "Requests without a valid key since the start.", self._server.rejected_requests
         )
         yield GaugeMetricFamily(
             "tidebend_leads",
