--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -22,7 +22,7 @@
 from tidebend.kvstore.watch_feed import MAX_CHANGES, WatchFeed
 from tidebend.messages import paths
 from tidebend.protocol import store as wire
-from tidebend.provider import AgentProcesses, Kind, Provider
+from tidebend.provider import AgentProcesses, MachineTypeSettings, Provider
 from tidebend.settings import StoreLimits
 from tidebend.transport import Reply, Server
 from tidebend.transport.connection_threads import ConnectionThreads
@@ -368,9 +368,9 @@
 
 
 def provider_of(engine, number):
-    kind = Kind(1, 1, agents=number)
+    kind = MachineTypeSettings(1, 1, agents=number)
     provider = Provider(engine, "here", {"m": kind}, NoProcesses(), None, lambda name: None)
-    provider._make("m", True, number, "", None, None)
+    provider._create_machines("m", True, number, "", None, None)
     return provider
 
 
@@ -386,7 +386,10 @@
 def test_lists_of_a_fleet_are_whole(engine):
     """Over the cloud's interface by pages, at the desk in one answer, and as a restart reads the records."""
     provider = provider_of(engine, FLEET)
-    for known in (provider, Provider(engine, "here", {"m": Kind(1, 1)}, NoProcesses(), None, lambda name: None)):
+    for known in (
+        provider,
+        Provider(engine, "here", {"m": MachineTypeSettings(1, 1)}, NoProcesses(), None, lambda name: None),
+    ):
         assert len(known.machines()) == FLEET
         names, more = [], True
         while more:
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -11,7 +11,7 @@
 
 from tidebend.access import Keyring
 from tidebend.client.api_client import ApiClient, ControlServiceUnreachableError
-from tidebend.client.jobfile import JobBlock, Ready, new_id
+from tidebend.client.jobfile import JobBlock, JobSubmission, new_job_id
 from tools.loopback import LEASE_S, TASK, Asked, Loopback
 
 
@@ -38,8 +38,10 @@
         environment={"E": str(loopback.evidence)},
         machines=list(machines),
     )
-    name = new_id(kind)
-    loopback.asked[name] = Asked(Ready(name, kind, block.spec(kind), block.description(), ()), cancel_at=cancel_at)
+    name = new_job_id(kind)
+    loopback.asked[name] = Asked(
+        JobSubmission(name, kind, block.spec(kind), block.description(), ()), cancel_at=cancel_at
+    )
 
 
 @pytest.mark.timeout(150)
--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -10,7 +10,7 @@
 from tidebend.agent.write_ahead_log import StartedProcess, WriteAheadLog
 from tidebend.kvstore import Engine
 from tidebend.protocol import rental_request
-from tidebend.provider import AgentProcesses, JoinRefusedError, Kind, MachineGoneError, Provider
+from tidebend.provider import AgentProcesses, JoinRefusedError, MachineGoneError, MachineTypeSettings, Provider
 from tidebend.transport import UnreachableError
 
 
@@ -23,7 +23,7 @@
     def keep_up(self, name, kind, nonce):
         self.up.append(name)
 
-    def end(self, name):
+    def kill(self, name):
         self.ended.append(name)
         return name not in self.stubborn
 
@@ -47,7 +47,11 @@
     engine.close()
 
 
-KINDS = {"kept": Kind(1, 1, agents=2), "some": Kind(1, 1, most=3), "far": Kind(1, 1)}
+KINDS = {
+    "kept": MachineTypeSettings(1, 1, agents=2),
+    "some": MachineTypeSettings(1, 1, most=3),
+    "far": MachineTypeSettings(1, 1),
+}
 
 
 def provider(engine, processes=None, far=None):
@@ -164,7 +168,7 @@
         write_ahead_log.record_pids(rows[:1])  # of the other it was killed before it knew
         write_ahead_log.close()
         time.sleep(0.1)
-        assert processes.end("vm-1")
+        assert processes.kill("vm-1")
         assert [each.wait(5.0) for each in (task, stray, holder)] == [-9, -9, -9]
         write_ahead_log = WriteAheadLog(tmp_path / "vm-1")
         assert write_ahead_log.recorded_processes() == []
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from tidebend.access import KeyedClient, Keyring, client_ssl_context, parse_listen_address
-from tidebend.client.jobfile import Ready
+from tidebend.client.jobfile import JobSubmission
 from tidebend.control.main import ADDRESS_FILE, KEYS_FILE
 from tidebend.messages import paths
 from tidebend.protocol import user as words
@@ -47,7 +47,7 @@
         control: str | None = None,
         key_file: str | None = None,
         authority: str | None = None,
-        patience_s: float = PATIENCE_S,
+        retry_for_s: float = PATIENCE_S,
     ) -> None:
         """Raises ControlServiceUnreachableError, NotLoopback, BadKeys or BadCertificate."""
         if control is None:
@@ -63,7 +63,7 @@
         except ValueError as error:
             raise ControlServiceUnreachableError(str(error)) from error
         self.address = control
-        self._patience_s = patience_s
+        self._patience_s = retry_for_s
         ring = Keyring(Path(key_file) if key_file else directory / KEYS_FILE)
         self._client = KeyedClient(address, ring.bearer_token, tls=client_ssl_context(authority) if authority else None)
 
@@ -84,7 +84,7 @@
                 raise ControlServiceUnreachableError(f"{self.address}: {text}")
             time.sleep(0.25)
 
-    def submit(self, ready: Ready) -> str:
+    def submit(self, ready: JobSubmission) -> str:
         """Describe and submit; repeating it is harmless, since the id stays. The job's state."""
         self.call("POST", f"{paths.DESCRIPTIONS}/{ready.job}", msgspec.to_builtins(ready.description))
         return words.job_state(
--- a/tidebend/client/commands.py
+++ b/tidebend/client/commands.py
@@ -34,7 +34,7 @@
     RequestRejectedError,
     data_directory,
 )
-from tidebend.client.jobfile import JobBlock, one_job, read_jobs
+from tidebend.client.jobfile import JobBlock, read_jobs, single_job
 from tidebend.control.main import KEYS_FILE
 from tidebend.hcl import HclFileError
 from tidebend.protocol import PRIORITIES
@@ -261,7 +261,7 @@
         ready = read_jobs(arguments.file)
     else:
         ready = [
-            one_job(
+            single_job(
                 JobBlock(
                     command=arguments.words,
                     kind=arguments.kind,
--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -91,7 +91,7 @@
         )
 
 
-class Ready(msgspec.Struct, frozen=True):
+class JobSubmission(msgspec.Struct, frozen=True):
     """A job with its id, as it is going to be submitted."""
 
     job: str
@@ -101,13 +101,13 @@
     awaits: tuple[str, ...]
 
 
-def new_id(name: str) -> str:
+def new_job_id(name: str) -> str:
     """Ids come in the order in which they are made, to the second."""
     name = re.sub(r"[^A-Za-z0-9_.\-]", "-", name)[:60]
     return f"req-{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{name}-{secrets.token_hex(3)}"
 
 
-def read_jobs(path: str) -> list[Ready]:
+def read_jobs(path: str) -> list[JobSubmission]:
     """Return the jobs of a file, each after those it waits for. Raises HclFileError."""
     file = HclFile(path)
     file.reject_unknown("job")
@@ -118,7 +118,7 @@
     for name, block in blocks.items():
         _check_name(file, name)
         _check_dependencies(file, name, block, blocks)
-    ids = {name: new_id(name) for name in blocks}
+    ids = {name: new_job_id(name) for name in blocks}
     directory = Path(path).parent.absolute()
     return [_ready(name, blocks[name], ids, directory) for name in _in_order_of_dependencies(file, blocks)]
 
@@ -163,16 +163,16 @@
     return list(ordered)
 
 
-def _ready(name: str, block: JobBlock, ids: dict[str, str], directory: Path) -> Ready:
+def _ready(name: str, block: JobBlock, ids: dict[str, str], directory: Path) -> JobSubmission:
     if block.directory is not None:  # a relative one is meant from where the file is
         block = msgspec.structs.replace(block, directory=str(directory / block.directory))
     dependencies = tuple(ids.get(other, other) for other in block.after)
-    return Ready(ids[name], name, block.spec(name), block.description(), dependencies)
+    return JobSubmission(ids[name], name, block.spec(name), block.description(), dependencies)
 
 
-def one_job(block: JobBlock, name: str) -> Ready:
+def single_job(block: JobBlock, name: str) -> JobSubmission:
     """Return a job that stands in no file."""
-    return Ready(new_id(name), name, block.spec(name), block.description(), ())
+    return JobSubmission(new_job_id(name), name, block.spec(name), block.description(), ())
 
 
-__all__ = ["HclFileError", "JobBlock", "Ready", "one_job", "read_jobs"]
+__all__ = ["HclFileError", "JobBlock", "JobSubmission", "read_jobs", "single_job"]
--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -148,7 +148,7 @@
         return connect
 
     def _terms(self, kind: str) -> JoinResponse:
-        times, amounts = self.settings.times, self.provider.terms(kind)
+        times, amounts = self.settings.times, self.provider.machine_type(kind)
         return JoinResponse(
             "",
             self.settings.zone,
@@ -193,7 +193,7 @@
 
     def end(self) -> None:
         """Agents here first, while they can still report; then the door, then the store."""
-        self.provider.end()
+        self.provider.stop()
         for gate in self.servers:
             gate.shutdown()
             gate.server_close()
--- a/tidebend/control/settings.py
+++ b/tidebend/control/settings.py
@@ -9,7 +9,7 @@
 from tidebend.access import NotLoopbackError, Tls, parse_listen_address
 from tidebend.hcl import HclFile
 from tidebend.messages.agents import Name
-from tidebend.provider import Kind
+from tidebend.provider import MachineTypeSettings
 from tidebend.settings import Knobs, Settings, read_settings
 
 Seconds = Annotated[float, msgspec.Meta(gt=0, le=86400)]
@@ -77,7 +77,7 @@
     connections: int
     times: Times
     state: State
-    machines: dict[str, Kind]
+    machines: dict[str, MachineTypeSettings]
     teams: dict[str, TeamLimits]
     tls: Tls | None
 
@@ -149,7 +149,7 @@
             parse_listen_address(text, tls is not None)
         except (ValueError, NotLoopbackError) as error:
             raise file.error(where, str(error)) from error
-    machines = file.labelled_blocks("machine", Kind)
+    machines = file.labelled_blocks("machine", MachineTypeSettings)
     if not machines:
         raise file.error(("machine",), 'expected at least one machine "NAME" { cpus = ... memory_gb = ... }')
     teams = file.labelled_blocks("team", TeamLimits, lambda: {"everyone": TeamLimits()})
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -123,17 +123,17 @@
                 start_new_session=True,
             )
 
-    def end(self, name: str, timeout: float = 10.0) -> bool:
+    def kill(self, name: str, timeout: float = 10.0) -> bool:
         """End it and all that it ran; True once that is certain, and it won't come back."""
         with self._lock:
             self._ending.add(name)
         try:
-            return self._end(name, timeout)
+            return self._kill(name, timeout)
         finally:
             with self._lock:
                 self._ending.discard(name)
 
-    def _end(self, name: str, timeout: float) -> bool:
+    def _kill(self, name: str, timeout: float) -> bool:
         deadline = time.monotonic() + timeout
         while True:
             try:
--- a/tidebend/provider/local.py
+++ b/tidebend/provider/local.py
@@ -36,7 +36,7 @@
 MOST_LISTED = 500  # machines a page, by the protocol: `more` says that it goes on
 
 
-class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MachineTypeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A type of machine. `agents` of it are always kept here, and up to `most` are started when there is work."""
 
     cpus: float
@@ -86,7 +86,7 @@
         self,
         engine: Engine,
         zone: str,
-        kinds: dict[str, Kind],
+        kinds: dict[str, MachineTypeSettings],
         processes: AgentProcesses,
         connect: Callable[[tuple[str, int]], HttpClient],
         address_of: Callable[[str], tuple[str, int] | None],
@@ -116,7 +116,9 @@
         with self._lock:
             return {name: machine for name, (machine, _) in self._machines.items()}
 
-    def _make(self, kind: str, here: bool, count: int, label: str, nonce: str | None, charter: str | None) -> list[str]:
+    def _create_machines(
+        self, kind: str, here: bool, count: int, label: str, nonce: str | None, charter: str | None
+    ) -> list[str]:
         """New machines, and the charter or nonce under which they were asked for, in one durable step."""
         counter, _ = self._engine.get(COUNTER)
         number = counter.value if counter else 0
@@ -169,7 +171,7 @@
                     self._bury(name)
             item, _ = self._engine.get(NONCE + nonce)
             if item is None:
-                (name,) = self._make(kind, False, 1, label, nonce, None)
+                (name,) = self._create_machines(kind, False, 1, label, nonce, None)
                 log.info("%s has joined as %s of type %s", label, name, kind)
                 return name
             name = item.value
@@ -182,7 +184,7 @@
                 self._change(name, msgspec.structs.replace(machine, joined=True))
             return name
 
-    def terms(self, kind: str) -> Kind:
+    def machine_type(self, kind: str) -> MachineTypeSettings:
         """Return what is told to an agent of a type that joins."""
         return self._kinds[kind]
 
@@ -222,7 +224,7 @@
             count = min(asked.count, kind.limit - self._here(asked.kind))
             if count < 1 or asked.spot:
                 return 503, {"error": "no capacity"}
-            return 200, wire.machines_answer(self._make(asked.kind, True, count, "", None, asked.name))
+            return 200, wire.machines_answer(self._create_machines(asked.kind, True, count, "", None, asked.name))
 
     def _here(self, kind: str) -> int:
         return sum(1 for machine in self.machines().values() if machine.here and machine.kind == kind)
@@ -260,7 +262,7 @@
         if machine is None:
             return True
         if machine.here:
-            if not self._processes.end(name):
+            if not self._processes.kill(name):
                 return False
         elif not self._has_left(name):
             return False
@@ -308,12 +310,12 @@
             for name, kind in self._kinds.items():
                 missing = kind.agents - self._here(name)
                 if missing > 0:
-                    self._make(name, True, missing, "", None, None)
+                    self._create_machines(name, True, missing, "", None, None)
         for name, machine in self.machines().items():
             if machine.here and not self._ended.is_set():
                 self._processes.keep_up(name, machine.kind, machine.nonce)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """End the agents here, in order; they come back with the next start."""
         self._ended.set()
         self._processes.end_in_order([name for name, machine in self.machines().items() if machine.here])
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -24,7 +24,7 @@
 
 from tidebend.access import Keyring
 from tidebend.client.api_client import ApiClient
-from tidebend.client.jobfile import JobBlock, one_job
+from tidebend.client.jobfile import JobBlock, single_job
 
 ROOT = Path(__file__).resolve().parent.parent
 SETTINGS = """
@@ -187,7 +187,7 @@
         reports = world.reports - reports
         histogram = HdrHistogram(1, 60_000_000, 3)
         for _ in range(60):
-            ready = one_job(JobBlock(command=["true"]), "bench")
+            ready = single_job(JobBlock(command=["true"]), "bench")
             asked = time.monotonic()
             await loop.run_in_executor(None, desk.submit, ready)
             task = f"{ready.job}/0"
@@ -221,7 +221,7 @@
         histogram = HdrHistogram(1, 60_000_000, 3)
         log = directory / "begun"
         for number in range(tasks):
-            ready = one_job(JobBlock(command=["sh", "-c", f"cut -d' ' -f1 /proc/uptime; date +%s.%N >> {log}"]), "b")
+            ready = single_job(JobBlock(command=["sh", "-c", f"cut -d' ' -f1 /proc/uptime; date +%s.%N >> {log}"]), "b")
             asked = time.time()
             desk.submit(ready)
             while not log.exists() or len(log.read_text().splitlines()) <= number:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -24,7 +24,7 @@
 from pathlib import Path
 
 from tidebend.client.api_client import ApiClient, ControlServiceUnreachableError, RequestRejectedError
-from tidebend.client.jobfile import JobBlock, Ready, new_id
+from tidebend.client.jobfile import JobBlock, JobSubmission, new_job_id
 from tidebend.provider.agents import AgentProcesses
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -67,7 +67,7 @@
 
 @dataclass
 class Asked:
-    ready: Ready
+    ready: JobSubmission
     accepted: bool = False
     cancel_at: float | None = None  # when its user will ask
     cancelled_at: float | None = None  # uptime at which he was told so
@@ -233,8 +233,8 @@
             name for name, row in self.asked.items() if row.accepted and row.ready.description.kind != "service"
         ][-5:]
         dependencies = (draw.choice(earlier),) if kind == "chain" and earlier else ()
-        name = new_id(kind)
-        row = self.asked[name] = Asked(Ready(name, kind, shard.spec(kind), shard.description(), dependencies))
+        name = new_job_id(kind)
+        row = self.asked[name] = Asked(JobSubmission(name, kind, shard.spec(kind), shard.description(), dependencies))
         if kind == "service":
             row.cancel_at = time.monotonic() + draw.uniform(1.0, 6.0)
         elif draw.random() < 0.1:
@@ -276,7 +276,7 @@
         self.start_control()
         while not (self.data / "address").exists():
             time.sleep(0.05)
-        self.desk = ApiClient(self.data, patience_s=0.0)
+        self.desk = ApiClient(self.data, retry_for_s=0.0)
         self.start_far()
 
     def run(self, seconds: float, every_s: float = 2.0, busy: int = 12) -> None:
@@ -328,7 +328,7 @@
         # a control service that was killed when the time was up leaves its agents to us
         processes = AgentProcesses(self.data / "agents", "", self.data, 0.0, None)
         for place in (self.data / "agents").glob("vm-*"):
-            processes.end(place.name)
+            processes.kill(place.name)
 
     # The checker
 
