--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -10,7 +10,7 @@
 from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
-from tests.test_troubles import TEAMS, ZONES, busy
+from tests.test_troubles import TEAMS, ZONES, busy_world
 from tidebend.controller.api.job_api import JobApi
 from tidebend.kvclient import WatchCache
 
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize("odd", ODD)
 def test_what_was_accepted_is_known_whatever_a_repeats_body_says(odd):
     """A repeat that lacked a field was answered 400 by controllers that hadn't read of the job yet."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         world.jobs["req-b"] = {"id": "req-b", **JOB}
         world.log.append((world.now, "asked", "submit", "req-b", {}))
         assert world.user("submit", "req-b", "n0")[0] == 201
@@ -148,7 +148,7 @@
 
 def test_a_first_submission_is_answered_by_what_is_known_by_then():
     """It was called queued, whatever others had made of it while its transaction was under way."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
 
         def meanwhile(node, method, path, body, carried_out, first=first, world=world):
--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -16,7 +16,7 @@
 from simulation.search import play as play_search
 from simulation.versions import at, production
 from simulation.world import NEW, World
-from tests.test_guards import TYPES, begun
+from tests.test_guards import TYPES, started_world
 from tests.test_scenarios import JOB
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import JOB_PREFIX, Job
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("error", [NotExecutedError("refused"), OutcomeUnknownError("no answer")], ids=lambda e: str(e))
 def test_cancellations_that_cannot_be_sealed_now_keep_the_mapping_event_from_nothing(error):
-    for world in begun():
+    for world in started_world():
         with mock.patch.object(CancellationSealer, "seal_all", side_effect=error) as seal_all:
             world.submit("req-a", **{**JOB, "run_s": 3.0})
             for _ in range(100):
@@ -179,7 +179,7 @@
 
 def test_a_cancellation_that_production_recorded_is_sealed_after_the_rise_of_the_format_too():
     """A transaction of production's that got no answer may be executed later still."""
-    for world in begun():
+    for world in started_world():
         assert SCHEMA_VERSION_KEY in world.state.items
         job = Job("req-a", 0, parse_job({**JOB, "pieces": 2}), 0.0, cancelled=True)
         record = replace(job, allocations=(Allocation("vm-000000", 1, 1, 3, 0.0, "north"),)).pack()
@@ -235,7 +235,7 @@
 def test_ends_and_cancellations_in_any_order_give_one_final_state(form, seed):
     fields, max_value_bytes, cancelled_share = FORMS[form]
     chance = random.Random(seed)
-    for world in begun():
+    for world in started_world():
         pair = [world.controllers[node] for node in world.nodes]
         for controller in pair:
             controller.record_limits.max_value_bytes, controller.record_limits.max_writes = max_value_bytes, 4
--- a/tests/test_fleet_size.py
+++ b/tests/test_fleet_size.py
@@ -9,7 +9,7 @@
 import cbor2
 import pytest
 
-from tests.test_guards import begun
+from tests.test_guards import started_world
 from tidebend import protocol
 from tidebend.cluster_state.machine import Machine
 from tidebend.cluster_state.machine_registry import MachineRegistry
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
 class Clock:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -56,15 +56,15 @@
     monkeypatch.setattr(
         "tidebend.coordination.schema_version.SchemaVersion.upgrade_if_all_support", lambda self, leader: None
     )
-    yield from begun()
+    yield from started_world()
 
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
-def begun(teams=TEAMS):
+def started_world(teams=TEAMS):
     random.seed(1)
     made = World(1, ["north", "south"], teams, TYPES)
     for zone in made.zones:
@@ -75,7 +75,7 @@
         yield made
 
 
-def stale_pair(world, **jobs):
+def stale_controllers(world, **jobs):
     """Two controllers that know some jobs; from here on neither hears of the other's writes by itself."""
     for name, made in jobs.items():
         job = made if isinstance(made, Job) else Job(name, 0, made, 0.0)
@@ -86,7 +86,7 @@
     return pair
 
 
-def in_parts(made, name="a"):
+def chunked_job(made, name="a"):
     return Job(name, 0, made, 0.0, chunks=ChunkIndex(40))
 
 
@@ -103,40 +103,40 @@
 
 
 def test_two_holders_do_not_claim_the_same_task(world):
-    first, second = stale_pair(world, a=spec())
+    first, second = stale_controllers(world, a=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
     assert allocation(second, "a", "vm-000001", 1) is None
 
 
 def test_a_stale_holder_claims_nothing_of_a_job_that_was_cancelled(world):
-    first, second = stale_pair(world, a=spec())
+    first, second = stale_controllers(world, a=spec())
     record = replace(first.job_cache.get("a"), cancelled=True).pack()
     world.state.transact({"if": [], "writes": [{"put": JOB_PREFIX + "a", "v": record}]})
     assert allocation(second, "a", "vm-000001", 1) is None
 
 
 def test_two_holders_do_not_exceed_a_team_limit_with_two_jobs(world):
-    first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
+    first, second = stale_controllers(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert allocation(second, "b", "vm-000001", 3) is None
 
 
 def test_a_deposed_holder_claims_nothing(world):
-    first, second = stale_pair(world, a=spec())
+    first, second = stale_controllers(world, a=spec())
     grant = first.coordinator.grant("north.0")
     second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
     assert allocation(first, "a", "vm-000000", 1, dict([first.coordinator.condition(grant)])) is None
 
 
 def test_a_job_that_is_over_is_not_created_anew(world):
-    first, _ = stale_pair(world)
+    first, _ = stale_controllers(world)
     world.state.transact({"if": [], "writes": [{"put": "tidebend/final/req-a", "v": "done"}]})
     reply = first.job_api.submit(b'{"id":"req-a",' + json.dumps(JOB).encode()[1:])
     assert (reply.status, reply.body["tide"]) == (200, "done")
 
 
 def test_spread_is_checked_against_the_record_of_the_claim(world):
-    first, _ = stale_pair(world, a=spec(shape="service", pieces=2, vcpus=1.0, spread=True))
+    first, _ = stale_controllers(world, a=spec(shape="service", pieces=2, vcpus=1.0, spread=True))
     now = time.monotonic()
     places = first.scheduling_loop.free_capacity.usable_machines(now, time.time())
     name = next(name for name, scheduled in places.items() if scheduled.candidate.zone == "north")
@@ -145,7 +145,7 @@
 
 
 def test_a_grant_is_not_acted_on_before_a_read(world):
-    first, _ = stale_pair(world)
+    first, _ = stale_controllers(world)
     first.coordinator.holdings._held.clear()
     first.cache.barrier = lambda timeout, kind="poll": False
     first.coordinator.holdings.refresh()
@@ -154,7 +154,7 @@
 
 def test_an_old_grant_is_not_taken_up_once_the_read_before_it_tells_of_a_later_one(world):
     """A controller was out of touch, and its block went to another: for a moment it acted on its old grant again."""
-    first, second = stale_pair(world)
+    first, second = stale_controllers(world)
     grant = first.coordinator.grant("north.0")
     first.coordinator.holdings._held.clear()
     second.coordinator.shard_records.grant("north.0", grant.token, "n1", second.coordinator.lease)
@@ -163,7 +163,7 @@
 
 
 def test_ends_wait_until_the_worker_has_confirmed_the_token(world):
-    first, _ = stale_pair(world, a=spec())
+    first, _ = stale_controllers(world, a=spec())
     machine = next(m for m in first.machine_registry.all() if shard_of(m.zone) == "north.0")
     allocation(first, "a", machine.name, 1)
     machine.tasks = {("a", 0, 1): TaskReport("a", 0, 1, "ended", "stopped", False)}
@@ -281,7 +281,7 @@
 
 def test_a_record_that_is_full_becomes_a_head_with_parts_of_bounded_size(world):
     """As production wrote it and larger than may now be written: parts first, each step in few changes."""
-    first, second = stale_pair(world, a=spec(pieces=100_000, vcpus=0.0, memoryGb=0.0))
+    first, second = stale_controllers(world, a=spec(pieces=100_000, vcpus=0.0, memoryGb=0.0))
     first.record_limits.max_value_bytes, first.record_limits.max_writes = 600, 4
     largest, whole = [], world.state.transact
     world.state.transact = lambda body: (
@@ -320,7 +320,7 @@
 
 def test_a_job_whose_description_alone_is_too_long_by_now_keeps_no_other_from_being_claimed(world):
     long = spec(pieces=3, hulls=[f"a-long-name-{n:04d}" for n in range(99)])
-    first, _ = stale_pair(world, a=long, b=spec())
+    first, _ = stale_controllers(world, a=long, b=spec())
     world.state.limits["value_kb"], first.record_limits.max_value_bytes = 1.0, 1024
 
     def edit(job, usage):
@@ -332,7 +332,7 @@
 
 def test_a_part_is_compared_as_it_was_when_the_job_was_read(world):
     """The watch brings another holder's claim while ours is being made: it must not be overwritten."""
-    first, second = stale_pair(world, a=in_parts(spec(pieces=100, vcpus=0.0, memoryGb=0.0)))
+    first, second = stale_controllers(world, a=chunked_job(spec(pieces=100, vcpus=0.0, memoryGb=0.0)))
     assert allocation(first, "a", "vm-000000", 0b1) is not None
     second.cache.catch_up(0.0, "claim")
 
@@ -352,7 +352,7 @@
 
 
 def test_usage_is_what_the_claims_take_through_claims_ends_and_the_end_of_a_job(old_world):
-    first, second = stale_pair(old_world, a=spec(pieces=2), b=spec(pieces=2))
+    first, second = stale_controllers(old_world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     assert first.job_cache.team("team").cpus == 8.0
     ended = {("vm-000000", 1, 1): 1}
@@ -369,7 +369,7 @@
 
 
 def test_a_cache_that_has_not_heard_of_ends_claims_too_little_and_never_too_much(world):
-    first, second = stale_pair(world, a=spec(pieces=2), b=spec(pieces=2))
+    first, second = stale_controllers(world, a=spec(pieces=2), b=spec(pieces=2))
     assert allocation(first, "a", "vm-000000", 3) is not None
     second.cache.catch_up(0.0, "claim")
     assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 1), {})
@@ -380,9 +380,9 @@
 # Shares: a team's limit in each zone
 
 
-def shared(world, **limit):
+def controllers_with_quotas(world, **limit):
     """Two controllers that hold a zone each, and a team with that limit in shares, all of it free."""
-    pair = stale_pair(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
+    pair = stale_controllers(world, a=spec(pieces=8, vcpus=1.0), b=spec(pieces=8, vcpus=1.0))
     assert pair[0].job_cache.team("team").zone_quotas
     return pair
 
@@ -403,7 +403,7 @@
     controller.state._http.request = whole
 
 
-def claim_in(controller, zone, name, tasks):
+def allocate_in_zone(controller, zone, name, tasks):
     grant = controller.coordinator.grant(f"{zone}.0")
 
     def edit(job, usage):
@@ -418,39 +418,41 @@
 
 
 def test_holders_of_two_zones_use_a_limit_up_and_never_more_whatever_they_know_of_each_other(world):
-    first, second = shared(world)
-    assert claim_in(first, "north", "a", 0b111) is not None
-    assert claim_in(second, "south", "b", 0b11111111) is None  # only five are left, as it learns by the conflict
-    assert claim_in(second, "south", "b", 0b1) is not None
+    first, second = controllers_with_quotas(world)
+    assert allocate_in_zone(first, "north", "a", 0b111) is not None
+    assert (
+        allocate_in_zone(second, "south", "b", 0b11111111) is None
+    )  # only five are left, as it learns by the conflict
+    assert allocate_in_zone(second, "south", "b", 0b1) is not None
     shares = second.job_cache.team("team").zone_quotas
     assert sum(row[0] for row in shares.zones.values()) <= 8.0
     # within its share a claim changes nothing but the job, so that it collides with nobody
     before = world.state.revision
-    assert claim_in(first, "north", "a", 0b1000) is not None
+    assert allocate_in_zone(first, "north", "a", 0b1000) is not None
     assert [row.get("put") for row in world.state.changes if row["stamp"] > before] == ["tidebend/live/job/a"]
     # what the other zone took ahead is not to be had, until its holder gives it back
     first.cache.catch_up(0.0, "claim")
-    assert claim_in(first, "north", "a", 0b1110000) is None
+    assert allocate_in_zone(first, "north", "a", 0b1110000) is None
     assert second.quota_rebalancer.release_unused("team")
     assert not second.quota_rebalancer.release_unused("team")
     first.cache.catch_up(0.0, "claim")
-    assert claim_in(first, "north", "a", 0b1110000) is not None
+    assert allocate_in_zone(first, "north", "a", 0b1110000) is not None
     assert first.job_cache.used("team") == (8.0, 0.0)
 
 
 def test_a_claim_that_may_be_executed_late_is_ended_before_its_team_claims_again(world):
     """Two jobs' claims within one share don't compare each other's records: the late one must not come on top."""
-    first, _ = shared(world)
-    assert claim_in(first, "north", "a", 0b1) is not None
+    first, _ = controllers_with_quotas(world)
+    assert allocate_in_zone(first, "north", "a", 0b1) is not None
     share = int(first.job_cache.team("team").zone_quotas.zones["north"][0])
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
-        claim_in(first, "north", "a", (1 << share) - 1)
-    assert claim_in(first, "north", "b", (1 << share - 1) - 1) is not None
+        allocate_in_zone(first, "north", "a", (1 << share) - 1)
+    assert allocate_in_zone(first, "north", "b", (1 << share - 1) - 1) is not None
     assert world.state.transact(late[0])[0] == 409
 
 
 def test_shares_begin_with_what_is_used_and_an_old_reading_of_the_team_claims_nothing_more(old_world, monkeypatch):
-    first, second = stale_pair(old_world, a=spec(pieces=2, vcpus=1.0), b=spec(pieces=2, vcpus=1.0))
+    first, second = stale_controllers(old_world, a=spec(pieces=2, vcpus=1.0), b=spec(pieces=2, vcpus=1.0))
     assert allocation(first, "a", "vm-000000", 1) is not None
     second.cache.catch_up(0.0, "claim")
     old_world.state.transact({"if": [], "writes": [{"put": "tidebend/live/format", "v": {"version": 2}}]})
@@ -463,7 +465,7 @@
 
 
 def test_several_jobs_go_into_one_transaction_and_share_their_teams_record(world):
-    first, _ = stale_pair(world, a=spec(pieces=1), b=spec(pieces=1), c=spec(pieces=1))
+    first, _ = stale_controllers(world, a=spec(pieces=1), b=spec(pieces=1), c=spec(pieces=1))
 
     def make(job, usage):
         if not first.settings.teams["team"].allows(usage.with_tasks_allocated(job.spec, 1).cpus, 0.0):
@@ -479,7 +481,7 @@
 def test_pages_are_taken_over_as_of_one_revision(old_world):
     """A job that is over, read before its end was written, next to a team's record read after it, would make the
     team's usage look smaller than it is."""
-    first, second = stale_pair(old_world, a=spec(), b=spec())
+    first, second = stale_controllers(old_world, a=spec(), b=spec())
     assert allocation(first, "a", "vm-000000", 1) is not None
     assert first.job_writer.write_edit("a", lambda job, _: job.with_ended_tasks({("vm-000000", 1, 1): 1}, 0), {})
     whole = second.state.items
@@ -552,7 +554,7 @@
 
 
 def test_a_gangs_machine_in_a_cut_zone_is_waited_for_while_another_would_boot_and_fetch(world):
-    first, _ = stale_pair(world, a=spec(), g=spec(shape="group", sizeGb=20.0))
+    first, _ = stale_controllers(world, a=spec(), g=spec(shape="group", sizeGb=20.0))
     assert allocation(first, "a", "vm-000100", 1) is not None
     assert allocation(first, "g", "vm-000101", 1) is not None
     given_up = []
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,7 +10,7 @@
 from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
-from tests.test_troubles import TEAMS, ZONES, busy
+from tests.test_troubles import TEAMS, ZONES, busy_world
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.cluster_state.machine import Machine
@@ -120,7 +120,7 @@
 def test_machines_that_reported_through_an_outage_are_not_given_back_when_it_is_over():
     """Their reports were refused once our last read was too old, and then they counted as silent: of a fleet that had
     come through, most machines were given back in the first moment after the outage."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         used = {worker.name for worker in world.workers.values() if worker.tasks}
         world.state.down(world.now + 60.0)
         for _ in range(900):
@@ -131,7 +131,7 @@
 
 def test_an_answered_request_that_is_no_read_makes_the_cache_no_younger():
     """Renewals, writes and looked-up keys were taken for contact; none of them tells what others have changed."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         began = first.cache.as_of
         world.unread["n0"] = world.now + 100.0
@@ -149,7 +149,7 @@
 
 def test_a_read_counts_from_when_it_began_however_long_it_took():
     """A watch proves what it began with: what was confirmed while it hung may be missing from its answer."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         changes = first.state.changes
 
@@ -184,7 +184,7 @@
 
 def test_without_a_lease_only_what_is_cancelled_is_commanded():
     """A report was answered without any command while our lease had run out, and cancelled tasks ran on."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         worker = next(worker for worker in world.workers.values() if worker.zone == "north")
         world.state.down(world.now + 60.0)
@@ -209,7 +209,7 @@
 
 def test_an_announcement_that_is_carried_out_late_changes_nothing():
     """It had no condition: an old list of unheard blocks stood for good."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
         first.cache.catch_up(0.0, "claim")
         world.late_writes.append((world.now + 1.0, 1.0))
@@ -227,7 +227,7 @@
 
 def test_an_announcement_that_failed_is_made_with_the_next_renewal():
     """A new lease without an announcement was renewed for ever, and its controller got no block."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = first_of(world)
         session_lease = first.coordinator.session_lease
         lease, session_lease.lease = session_lease.lease, None
@@ -243,7 +243,7 @@
 
 def test_a_former_processs_announcement_does_not_outlive_it():
     """Carried out after its successor's, it hung the record on the former lease, with which it went away."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
         world.late_writes.append((world.now + 1.0, 1.0))
         first.coordinator.mark_unreachable("south.0", 6, 30.0)
@@ -264,7 +264,7 @@
 )
 def test_a_peers_frame_that_cannot_be_read_changes_nothing(changes):
     """One whose `came` was no map ended its connection's thread, and others were taken over by half."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first, second = first_of(world), world.controllers["n1"]
         before = repr(first.peer_exchange.peers["n1"])
         world.steady += 0.5
@@ -276,7 +276,7 @@
 def test_an_outage_that_the_staleness_bound_covers_ends_no_session(report_s, lease_s, cancel_s):
     """Reports under way were taken off the bound, though a lease counts from when its report was sent: outages that
     could have been survived cost every task."""
-    for world in busy(1, report_s, lease_s, cancel_s):
+    for world in busy_world(1, report_s, lease_s, cancel_s):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         for _ in range(30):
             world.step()
@@ -288,7 +288,7 @@
 
 def test_a_lease_that_was_renewed_holds_though_the_announcement_is_refused():
     """Both were one step: while our changes were refused for their rate, a renewed lease counted as lost."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = first_of(world)
         world.state.limits["write_rps"] = 0.0
         # so that there is something to announce
@@ -301,7 +301,7 @@
 
 def test_no_block_stays_where_two_time_outs_would_cost_its_workers_their_leases():
     """One controller was away for long and the one before it stood still: its workers came to the third too late."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         world.crash("n1", 120.0)
         for _ in range(300):
             world.step()
@@ -321,7 +321,7 @@
 
 
 def test_blocks_stay_at_home_where_leases_outlast_two_time_outs():
-    for world in busy(1, 3.0, 14.0):
+    for world in busy_world(1, 3.0, 14.0):
         world.crash("n1", 60.0)
         for _ in range(400):
             world.step()
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from tests.test_guards import begun
+from tests.test_guards import started_world
 from tidebend.controller.api.replies import RateLimitedLog
 
 
 @pytest.fixture(scope="module")
 def controller():
-    for world in begun():
+    for world in started_world():
         yield world.controllers["n0"]
 
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from tests.test_guards import begun
+from tests.test_guards import started_world
 from tests.test_scenarios import JOB
 
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
 def restarted(world, node="n0"):
--- a/tests/test_stored_records.py
+++ b/tests/test_stored_records.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.test_scenarios import Scenario
-from tests.test_upgrade import kind, shape
+from tests.test_upgrade import key_prefix, structure
 from tidebend.cluster_state.final_states import FinalState, pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.cluster_state.job_records import HEAD_PREFIX, JOB_PREFIX, Job
@@ -198,7 +198,11 @@
 )
 def test_the_same_scene_leads_to_records_of_the_same_form(written_today, prefix):
     def forms(rows):
-        return {(kind(key), json.dumps(shape(value), default=str)) for key, value in rows if key.startswith(prefix)}
+        return {
+            (key_prefix(key), json.dumps(structure(value), default=str))
+            for key, value in rows
+            if key.startswith(prefix)
+        }
 
     def without_contents(form):
         """A job's allocations and a node's unreachable peers are lists that may have any length."""
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -6,11 +6,11 @@
 
 from tests.test_guards import (
     TEAMS,
-    begun,
-    claim_in,
-    shared,
+    allocate_in_zone,
+    controllers_with_quotas,
     spec,
-    stale_pair,
+    stale_controllers,
+    started_world,
     transactions_lost,
 )
 from tests.test_scheduling import make_machine, make_request
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
 def ending(tasks):
@@ -41,9 +41,9 @@
 
 
 def test_what_has_ended_makes_room_for_a_claim_in_its_own_transaction_and_never_for_one_without_it(world):
-    first, _ = shared(world)
+    first, _ = controllers_with_quotas(world)
     held = dict([first.coordinator.condition(first.coordinator.grant("north.0"))])
-    assert claim_in(first, "north", "a", 0b11111111) is not None  # all of the limit
+    assert allocate_in_zone(first, "north", "a", 0b11111111) is not None  # all of the limit
     assert first.job_writer.write_edits([JobEdit("b", claiming(first, 0b11), held)]) == {}
     # the ends' own condition fails: nobody may use what they would have freed
     lost = JobEdit("a", ending(0b11), {"tidebend/live/block/north.0": 1})
@@ -57,11 +57,11 @@
 
 def test_a_holder_without_a_machine_that_it_can_use_gives_shares_back(world):
     """A zone was cut off: whoever took its block hears nobody there, and the team waits elsewhere for the share."""
-    first, second = shared(world)
-    assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
+    first, second = controllers_with_quotas(world)
+    assert allocate_in_zone(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
     second.cache.catch_up(0.0, "claim")
     tasks = 0
-    while claim_in(second, "south", "b", 1 << tasks) is not None:
+    while allocate_in_zone(second, "south", "b", 1 << tasks) is not None:
         tasks += 1
     assert tasks < 7
     for machine in first.machine_registry.all():
@@ -71,50 +71,50 @@
     world.steady += 2 * first.scheduling_loop.completions.allocation_pause_s
     first.scheduling_loop.mapping_event()
     second.cache.catch_up(0.0, "claim")
-    while claim_in(second, "south", "b", 1 << tasks) is not None:
+    while allocate_in_zone(second, "south", "b", 1 << tasks) is not None:
         tasks += 1
     assert tasks == 7
 
 
 def test_shares_given_back_without_an_answer_are_not_lowered_under_a_later_claim(world):
     """Found by the model: a claim within a share only compares it, so that the late change would still be executed."""
-    first, _ = shared(world)
-    assert claim_in(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
+    first, _ = controllers_with_quotas(world)
+    assert allocate_in_zone(first, "north", "a", 0b1) is not None  # takes a part of the rest ahead
     with transactions_lost(first) as late, pytest.raises(OutcomeUnknownError):
         first.quota_rebalancer.release_unused("team")
-    assert claim_in(first, "north", "a", 0b10) is not None
+    assert allocate_in_zone(first, "north", "a", 0b10) is not None
     assert world.state.transact(late[0])[0] == 409
     assert world.state.items["tidebend/live/quota/team"][0]["north"][0] >= 2.0
 
 
 @pytest.fixture
 def boundless():
-    yield from begun([{**TEAMS[0], "cpus_max": 0.0}])
+    yield from started_world([{**TEAMS[0], "cpus_max": 0.0}])
 
 
 def test_claims_of_a_team_without_a_limit_do_not_collide(boundless):
     """A guest's 25,000 small tasks: each claim wrote the team's record, and a third of them met another holder's."""
-    first, second = shared(boundless)
+    first, second = controllers_with_quotas(boundless)
     before = boundless.state.counts["conflicts"]
     for tasks in (0b1, 0b10, 0b11111100):
-        assert claim_in(first, "north", "a", tasks) is not None
-        assert claim_in(second, "south", "b", tasks) is not None
+        assert allocate_in_zone(first, "north", "a", tasks) is not None
+        assert allocate_in_zone(second, "south", "b", tasks) is not None
     assert boundless.state.counts["conflicts"] == before
 
 
 def test_a_limit_that_a_team_has_not_had_before_counts_what_it_uses_elsewhere(boundless):
-    first, second = shared(boundless)
-    assert claim_in(first, "north", "a", 0b111111) is not None
+    first, second = controllers_with_quotas(boundless)
+    assert allocate_in_zone(first, "north", "a", 0b111111) is not None
     for controller in (first, second):
         controller.settings.teams["team"] = replace(controller.settings.teams["team"], cpus_max=8.0)
         controller.cache.catch_up(0.0, "claim")
     first.quota_rebalancer.establish_quotas()  # the leader's
-    assert claim_in(second, "south", "b", 0b111) is None
-    assert claim_in(second, "south", "b", 0b11) is not None
+    assert allocate_in_zone(second, "south", "b", 0b111) is None
+    assert allocate_in_zone(second, "south", "b", 0b11) is not None
 
 
 def test_a_gang_that_needs_more_than_is_free_has_shares_given_back(world):
-    first, _ = stale_pair(world, g=spec(shape="group", pieces=6, vcpus=1.0))
+    first, _ = stale_controllers(world, g=spec(shape="group", pieces=6, vcpus=1.0))
     quota_releaser, job = first.scheduling_loop.quota_releaser, first.job_cache.get("g")
     shares = first.job_cache.team("team").zone_quotas
     assert shares is not None
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -20,7 +20,7 @@
 TEAMS = [{"name": "team", "cpus": 400.0, "cpus_max": 400.0, "gpus": 0.0, "gpus_max": 0.0}]
 
 
-def busy(seed, report_s, lease_s, cancel_s=35.0):
+def busy_world(seed, report_s, lease_s, cancel_s=35.0):
     """Six machines in each of three zones, all of them busy for long; its clock runs until the test is over."""
     random.seed(seed)
     world = World(
@@ -41,7 +41,7 @@
 def test_a_controller_that_loses_its_workers_alone_gives_them_up_before_their_leases_end(seed, report_s, lease_s):
     """Each machine had to be suspect by itself first, and what was given up came back while it still wasn't heard:
     workers went back and forth, sent on by the others, a time-out each time."""
-    for world in busy(seed, report_s, lease_s):
+    for world in busy_world(seed, report_s, lease_s):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         began = world.now
         world.cuts.append(Cut("n0", "workers", began + 30.0, False, resets=True))
@@ -55,7 +55,7 @@
 
 def test_a_new_token_of_our_own_does_not_begin_the_patience_with_silent_machines_anew():
     """Commands without an answer have the token raised: with workers lost that went on, and 10 s passed, not 7."""
-    for world in busy(1, 3.0, 14.0):
+    for world in busy_world(1, 3.0, 14.0):
         first = world.controllers["n0"]
         before = first.coordinator.grant("north.0")
         first.coordinator.raise_fencing_token(before)
@@ -77,7 +77,7 @@
 
 def test_a_block_without_a_holder_goes_where_the_next_controller_is_alive():
     """Two of three gone: workers of one that stood still went to the one that was down, and lost their leases."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         world.crash("n1", 40.0)
         for _ in range(100):
@@ -99,7 +99,7 @@
 
 def test_reports_that_come_late_keep_no_dead_machine_heard_and_no_lost_zone():
     """A new holder knows no order of reports yet: copies of a dead machine's came one by one, and each was news."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         worker = next(worker for worker in world.workers.values() if worker.zone == "south")
         old = [report_of(worker) for _ in range(4)]
         first = world.controllers["n0"]
@@ -141,7 +141,7 @@
 
 def test_nobody_is_forgotten_whatever_a_controller_went_through():
     """Every kind of record through every trouble; then each controller is asked about each job."""
-    for world in busy(3, 1.0, 10.0):
+    for world in busy_world(3, 1.0, 10.0):
         world.polls.clear()
         more = [
             ("req-service", {"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False}),
@@ -199,7 +199,7 @@
     ],
 )
 def test_a_report_that_cannot_be_is_refused_by_name_and_changes_nothing(changes):
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         holder = world.controllers["n0"]
         worker = next(worker for worker in world.workers.values() if worker.zone == "north")
         before = repr(holder.machine_registry.machines[worker.name])
@@ -211,7 +211,7 @@
 
 def test_who_asks_a_controller_that_is_out_of_touch_alone_finds_another_at_once():
     """Users stayed on their connections and were refused until the load balancer had given the controller up."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         poll = ("GET", "/api/jobs/req-a", lambda: b"")
         assert not first.route(*poll).close_connection
@@ -227,7 +227,7 @@
 
 def test_a_service_that_runs_elsewhere_is_not_at_fault_for_three_bad_machines():
     """Its other replicas hold their places for ever: taken for tries, they would keep it from being tried."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         first.scheduling_loop.completions.backoffs["req-s"] = RetryBackoff(
             failures=3, machines=dict.fromkeys(["a", "b", "c"], 0.0)
@@ -241,7 +241,7 @@
 
 def test_a_gangs_replacement_avoids_the_machine_that_still_knows_its_attempt():
     """Ended tasks are kept there for a while: chosen again and again, it refused what was to complete the gang."""
-    for world in busy(1, 1.0, 10.0):
+    for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         spec = parse_job({**JOB, "shape": "group", "pieces": 2})
         gang = Job("req-g", 1, spec, 0.0).with_allocations([Allocation("vm-000001", 1, 1, 1, time.time(), "north")])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -7,7 +7,7 @@
 import pytest
 
 from simulation.world import World
-from tests.test_guards import begun
+from tests.test_guards import started_world
 from tests.test_scenarios import Scenario
 from tidebend.cluster_state.final_states import pack_final, unpack_final
 from tidebend.cluster_state.job_cache import JobCache
@@ -27,16 +27,16 @@
 """
 
 
-def kind(key):
+def key_prefix(key):
     return "/".join(key.split("/")[:3]) if "/live/" in key else key.rpartition("/")[0]
 
 
-def shape(value):
+def structure(value):
     """A value's structure: names and types, not contents."""
     if isinstance(value, dict):
-        return {key: shape(part) for key, part in value.items()}
+        return {key: structure(part) for key, part in value.items()}
     if isinstance(value, list):
-        return [shape(part) for part in value]
+        return [structure(part) for part in value]
     return float if isinstance(value, int | float) else type(value)
 
 
@@ -69,20 +69,20 @@
     world = Scenario(tmp_path / "scene.txt").run()
     known = {}
     for key, value in [*SAMPLES["items"].items(), *((row["key"], row["value"]) for row in SAMPLES["jobs"])]:
-        known.setdefault(kind(key), []).append(shape(value))
+        known.setdefault(key_prefix(key), []).append(structure(value))
     written = [(row["put"], row["v"]) for row in world.state.changes if "put" in row]
-    assert {kind(key) for key, _ in written} - set(known) == {
-        kind(READABLE_VERSION_PREFIX + "n0")
+    assert {key_prefix(key) for key, _ in written} - set(known) == {
+        key_prefix(READABLE_VERSION_PREFIX + "n0")
     }  # which production never looks at
     assert SCHEMA_VERSION_KEY not in world.state.items
     for key, value in written:
-        if kind(key) == kind(JOB_PREFIX):
+        if key_prefix(key) == key_prefix(JOB_PREFIX):
             assert len(value["spec"]) == len(SAMPLES["jobs"][0]["value"]["spec"])
-            assert any(set(value) <= set(sample) | {"cancelled"} for sample in known[kind(key)]), value
+            assert any(set(value) <= set(sample) | {"cancelled"} for sample in known[key_prefix(key)]), value
             assert all(list(map(type, row[:4])) == [int, int, float, str] for row in value.get("claims", ()))
-        elif kind(key) in known:
+        elif key_prefix(key) in known:
             # what a node can't hear is a list of texts that is mostly empty
-            assert shape(value) in known[kind(key)] or "unheard" in value, (key, value)
+            assert structure(value) in known[key_prefix(key)] or "unheard" in value, (key, value)
     frame = json.loads(json.dumps(world.controllers["n0"].peer_frame()))
     assert list(frame) == list(SAMPLES["frame"])
     assert [type(part) for part in frame["machines"][0]] == [type(part) for part in SAMPLES["frame"]["machines"][0]]
@@ -132,7 +132,7 @@
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
 def test_the_frames_between_controllers_keep_their_fields(world):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from simulation.links import Cut
-from tests.test_guards import begun, in_parts, spec
+from tests.test_guards import chunked_job, spec, started_world
 from tidebend.cluster_state.allocations import Allocation
 from tidebend.cluster_state.job_records import Job
 from tidebend.coordination import PeerMachine
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def world():
-    yield from begun()
+    yield from started_world()
 
 
 def given_up(standings, turn_s=1.0, until=140.0):
@@ -80,7 +80,7 @@
     allocations = tuple(
         Allocation(f"m{n}", 1, 1, 1 << n, 0.0, zone) for n, zone in enumerate(["north", "south", "north"])
     )
-    for job in (Job("s", 0, made, 0.0), in_parts(made, "s")):
+    for job in (Job("s", 0, made, 0.0), chunked_job(made, "s")):
         left = without_lost_zones(job.with_allocations(allocations), {"north"})
         assert left.pending == 0b1101
         assert left.allocated_by_zone() == {"south": 1}
