--- a/simulation/__main__.py
+++ b/simulation/__main__.py
@@ -42,7 +42,7 @@
 )
 
 
-def figure(result: dict, row: str) -> float | None:
+def metric_value(result: dict, row: str) -> float | None:
     value = result[row]
     if row == "breaches":
         return len(value)
@@ -75,7 +75,8 @@
         table.add_column(f"{name} ({len(group)})", justify="right")
     for row in ROWS:
         table.add_row(
-            row.replace("_", " "), *(text(figure(result, row) for result in group) for group in by_column.values())
+            row.replace("_", " "),
+            *(text(metric_value(result, row) for result in group) for group in by_column.values()),
         )
     table.add_section()
     for why in sorted({why for result in results for why in result["kept_by"]}):
@@ -111,7 +112,8 @@
     drawing, axes = pyplot.subplots(1, len(rows), figsize=(3.2 * len(rows), 3.4), layout="constrained")
     for axis, row in zip(axes, rows, strict=True):
         values = [
-            [value for result in group if (value := figure(result, row)) is not None] for group in by_column.values()
+            [value for result in group if (value := metric_value(result, row)) is not None]
+            for group in by_column.values()
         ]
         axis.bar(range(len(values)), [statistics.fmean(part) if part else 0.0 for part in values])
         axis.set_xticks(range(len(values)), list(by_column), rotation=30, ha="right", fontsize=7)
--- a/simulation/play.py
+++ b/simulation/play.py
@@ -200,7 +200,7 @@
             while troubles and troubles[0][0] <= now:
                 act(world, troubles.pop(0)[1], chance, later)
             world.step()
-            sampler.look()
+            sampler.sample()
             progress(now / experiment.cluster.seconds)
     made = report(world, sampler)
     made["breaches"] = [
--- a/simulation/report.py
+++ b/simulation/report.py
@@ -41,7 +41,7 @@
         self.first: dict[str, float] = {}  # job -> when its first task was started
         self.machine_s = 0.0
 
-    def look(self) -> None:
+    def sample(self) -> None:
         if self.world.ticks % self.every:
             return
         world, placed = self.world, Counter()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from simulation.__main__ import UNUSABLE, figure, main
+from simulation.__main__ import UNUSABLE, main, metric_value
 from simulation.experiment import read
 from simulation.play import play
 from tidebend.hcl import HclFileError
@@ -76,7 +76,7 @@
     assert all(0.0 < row["most"] <= 16.0 for row in first["teams"].values())
     assert first["stops"] > 0
     assert first["lost_cpu_s"] > 0.0
-    assert figure(first, "least_served_team") > 0.5
+    assert metric_value(first, "least_served_team") > 0.5
     assert first["state"]["changes"] > 0
 
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -12,7 +12,7 @@
 from tidebend.access import Keyring
 from tidebend.client.api_client import ApiClient, ControlServiceUnreachableError
 from tidebend.client.jobfile import JobBlock, JobSubmission, new_job_id
-from tools.loopback import LEASE_S, TASK, Asked, Loopback
+from tools.loopback import LEASE_S, TASK, Loopback, SubmittedJob
 
 
 @pytest.mark.timeout(150)
@@ -21,9 +21,9 @@
     try:
         loopback.run(15.0, every_s=1.5, busy=8)
     finally:
-        loopback.end()
+        loopback.stop()
     assert loopback.check() == []
-    assert len(loopback.asked) > 8
+    assert len(loopback.jobs) > 8
     assert loopback.counts["tasks ended"] > 20
 
 
@@ -39,7 +39,7 @@
         machines=list(machines),
     )
     name = new_job_id(kind)
-    loopback.asked[name] = Asked(
+    loopback.jobs[name] = SubmittedJob(
         JobSubmission(name, kind, block.spec(kind), block.description(), ()), cancel_at=cancel_at
     )
 
@@ -48,8 +48,8 @@
 def test_the_control_service_killed_at_each_step_of_a_start_an_end_and_a_cancel(tmp_path):
     loopback = Loopback(tmp_path, seed=1)
     try:
-        loopback.begin()
-        loopback._some_fault = lambda: ("", "")
+        loopback.start()
+        loopback._random_faults = lambda: ("", "")
         killed = 0
         for step in range(1, 22, 2):
             loopback.control.kill()
@@ -59,15 +59,15 @@
             _ask(loopback, "gang", 2)
             _ask(loopback, "array", 1, cancel_at=time.monotonic() + 0.4)
             deadline = time.monotonic() + 40.0
-            while not loopback.over():
+            while not loopback.all_final():
                 assert time.monotonic() < deadline, f"step {step}: no end"
                 killed += loopback.control.poll() is not None
-                loopback.tend()
-                loopback.users()
+                loopback.resume_and_restart()
+                loopback.poll_jobs()
                 time.sleep(0.03)
         assert killed > 5
     finally:
-        loopback.end()
+        loopback.stop()
     assert loopback.check() == []
 
 
@@ -89,16 +89,16 @@
 def test_an_agent_that_stood_still_for_longer_than_its_lease_obeys_no_old_order(tmp_path):
     loopback = Loopback(tmp_path, seed=1)
     try:
-        loopback.begin()
+        loopback.start()
         _ask(loopback, "array", 1, seconds="7", machines=["far"])
-        (name,) = loopback.asked
+        (name,) = loopback.jobs
         deadline = time.monotonic() + 30.0
         evidence = loopback.evidence / "log"
         while not evidence.exists() or "begin" not in evidence.read_text():
-            loopback.users()
+            loopback.poll_jobs()
             assert time.monotonic() < deadline
             time.sleep(0.05)
-        (far,) = [row for row in loopback.desk.agents() if row["kind"] == "far"]
+        (far,) = [row for row in loopback.api_client.agents() if row["kind"] == "far"]
         os.kill(loopback.far.pid, signal.SIGSTOP)
         # on a busy machine it goes on for a moment, and would count the standstill as a guest's silence
         until_stopped(loopback.far.pid)
@@ -116,21 +116,21 @@
         )
         while time.monotonic() - stopped < 1.6 * LEASE_S:
             # its silence proves nothing: the task isn't started anywhere else, and isn't called done
-            loopback.users()
-            assert loopback.desk.job(name)["state"] == "running"
+            loopback.poll_jobs()
+            assert loopback.api_client.job(name)["state"] == "running"
             time.sleep(0.1)
         os.kill(loopback.far.pid, signal.SIGCONT)
         assert b" 409 " in late.recv(1000).splitlines()[0]
         deadline = time.monotonic() + 30.0
-        while not loopback.over():
+        while not loopback.all_final():
             assert time.monotonic() < deadline
-            loopback.users()
+            loopback.poll_jobs()
             time.sleep(0.1)
-        (now,) = [row for row in loopback.desk.agents() if row["kind"] == "far"]
+        (now,) = [row for row in loopback.api_client.agents() if row["kind"] == "far"]
         # a later session, or, since it was asked to leave meanwhile, another machine
         assert now["machine"] > far["machine"] or now["session"] > far["session"]
     finally:
-        loopback.end()
+        loopback.stop()
     assert loopback.check() == []
     log = evidence.read_text().splitlines()
     assert [line.split()[0] for line in log if line.split()[2] != "99"] == ["begin", "begin", "end"]
@@ -141,15 +141,15 @@
     loopback = Loopback(tmp_path, seed=1)
     _ask(loopback, "array", 2, cancel_at=1.0)
     _ask(loopback, "array", 1)
-    cancelled, done = loopback.asked
-    loopback.asked[cancelled].told = [(1.0, "cancelled")]
-    loopback.asked[cancelled].cancelled_at = 100.0
-    loopback.asked[done].told = [(1.0, "done"), (2.0, "done")]
+    cancelled, done = loopback.jobs
+    loopback.jobs[cancelled].answers = [(1.0, "cancelled")]
+    loopback.jobs[cancelled].cancelled_at = 100.0
+    loopback.jobs[done].answers = [(1.0, "done"), (2.0, "done")]
     log = loopback.evidence / "log"
     log.write_text(f"begin {done}/0 1 10.0\nend {done}/0 1 11.0\nbegin {cancelled}/1 1 99.0\n")
     assert loopback.check() == []
     log.write_text(f"begin {done}/0 1 10.0\nbegin {cancelled}/1 1 120.0\ntwice {cancelled}/1 2 0\n")
-    loopback.asked[done].told.append((3.0, "cancelled"))
+    loopback.jobs[done].answers.append((3.0, "cancelled"))
     for name, at in (("vm-1", 5.0), ("vm-2", 5.5)):
         place = loopback.data / "agents" / name
         place.mkdir(parents=True)
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -66,12 +66,12 @@
 
 
 @dataclass
-class Asked:
+class SubmittedJob:
     ready: JobSubmission
     accepted: bool = False
     cancel_at: float | None = None  # when its user will ask
     cancelled_at: float | None = None  # uptime at which he was told so
-    told: list[tuple[float, str]] = field(default_factory=list)
+    answers: list[tuple[float, str]] = field(default_factory=list)
 
 
 class Loopback:
@@ -94,9 +94,9 @@
         self.control_back_at = 0.0
         self.far_back_at = 0.0
         self.stopped: dict[int, float] = {}  # process -> when it goes on
-        self.asked: dict[str, Asked] = {}
+        self.jobs: dict[str, SubmittedJob] = {}
         self.counts: Counter[str] = Counter()
-        self.desk: ApiClient | None = None
+        self.api_client: ApiClient | None = None
         self.breaches: list[str] = []
 
     # Both sides
@@ -124,7 +124,7 @@
             TIDEBEND_AGENT_FAULT=agent_fault,
         )
 
-    def _some_fault(self) -> tuple[str, str]:
+    def _random_faults(self) -> tuple[str, str]:
         draw = self.random
         fault = f"{draw.choice(STORE_POINTS)}:{draw.randint(1, 60)}" if draw.random() < 0.4 else ""
         agent_fault = f"{draw.choice(AGENT_POINTS)}:{draw.randint(1, 6)}" if draw.random() < 0.4 else ""
@@ -199,14 +199,14 @@
                 most = 2.0 * LEASE_S if kind != "stop control" else 1.2 * LEASE_S
                 self.stopped[pid] = now + self.random.uniform(0.2, most)
 
-    def tend(self) -> None:
+    def resume_and_restart(self) -> None:
         now = time.monotonic()
         for pid, until in list(self.stopped.items()):
             if now >= until:
                 del self.stopped[pid]
                 self._signal(pid, signal.SIGCONT)
         if self.control.poll() is not None and now >= self.control_back_at:
-            self.start_control(*self._some_fault())
+            self.start_control(*self._random_faults())
         if self.far.poll() is not None and now >= self.far_back_at:
             self.start_far()
 
@@ -229,32 +229,34 @@
             environment={"E": str(self.evidence)},
             priority=draw.choice(["low", "normal", "high"]) if kind != "service" else "production",
         )
-        earlier = [
-            name for name, row in self.asked.items() if row.accepted and row.ready.description.kind != "service"
-        ][-5:]
+        earlier = [name for name, row in self.jobs.items() if row.accepted and row.ready.description.kind != "service"][
+            -5:
+        ]
         dependencies = (draw.choice(earlier),) if kind == "chain" and earlier else ()
         name = new_job_id(kind)
-        row = self.asked[name] = Asked(JobSubmission(name, kind, shard.spec(kind), shard.description(), dependencies))
+        row = self.jobs[name] = SubmittedJob(
+            JobSubmission(name, kind, shard.spec(kind), shard.description(), dependencies)
+        )
         if kind == "service":
             row.cancel_at = time.monotonic() + draw.uniform(1.0, 6.0)
         elif draw.random() < 0.1:
             row.cancel_at = time.monotonic() + draw.uniform(0.0, 3.0)
 
-    def users(self) -> None:
+    def poll_jobs(self) -> None:
         """One round: whoever has no answer yet asks again."""
-        for name, row in self.asked.items():
+        for name, row in self.jobs.items():
             try:
                 if not row.accepted:
-                    self.desk.submit(row.ready)
+                    self.api_client.submit(row.ready)
                     row.accepted = True
-                elif row.told and row.told[-1][1] in ("done", "cancelled") and self.random.random() > 0.02:
+                elif row.answers and row.answers[-1][1] in ("done", "cancelled") and self.random.random() > 0.02:
                     continue
                 elif row.cancel_at is not None and row.cancelled_at is None and time.monotonic() >= row.cancel_at:
-                    self._told(row, self.desk.cancel(name))
-                    if row.told[-1][1] == "cancelled":
+                    self._told(row, self.api_client.cancel(name))
+                    if row.answers[-1][1] == "cancelled":
                         row.cancelled_at = _uptime()
                 else:
-                    self._told(row, self.desk.job(name)["state"])
+                    self._told(row, self.api_client.job(name)["state"])
                 self.counts["answers"] += 1
             except ControlServiceUnreachableError:
                 self.counts["no answer"] += 1
@@ -262,25 +264,25 @@
             except RequestRejectedError as error:
                 self.breaches.append(f"{name}: answered {error.status}: {error}")
 
-    def _told(self, row: Asked, state: str) -> None:
-        row.told.append((time.monotonic(), state))
-        del row.told[1:-2]
+    def _told(self, row: SubmittedJob, state: str) -> None:
+        row.answers.append((time.monotonic(), state))
+        del row.answers[1:-2]
 
-    def over(self) -> bool:
-        return all(row.told and row.told[-1][1] in ("done", "cancelled") for row in self.asked.values())
+    def all_final(self) -> bool:
+        return all(row.answers and row.answers[-1][1] in ("done", "cancelled") for row in self.jobs.values())
 
     # The run
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """A control service, the agents that it starts, and one that joins by itself."""
         self.start_control()
         while not (self.data / "address").exists():
             time.sleep(0.05)
-        self.desk = ApiClient(self.data, retry_for_s=0.0)
+        self.api_client = ApiClient(self.data, retry_for_s=0.0)
         self.start_far()
 
     def run(self, seconds: float, every_s: float = 2.0, busy: int = 12) -> None:
-        self.begin()
+        self.start()
         end = time.monotonic() + seconds
         next_trouble = time.monotonic() + 3.0
         said = time.monotonic()
@@ -288,34 +290,34 @@
             if time.monotonic() >= next_trouble:
                 self.trouble()
                 next_trouble = time.monotonic() + self.random.expovariate(1.0 / every_s)
-            self.tend()
+            self.resume_and_restart()
             open_jobs = sum(
-                1 for row in self.asked.values() if not row.told or row.told[-1][1] not in ("done", "cancelled")
+                1 for row in self.jobs.values() if not row.answers or row.answers[-1][1] not in ("done", "cancelled")
             )
             if open_jobs < busy:
                 self.submit()
-            self.users()
+            self.poll_jobs()
             if time.monotonic() - said > 30.0:
                 said = time.monotonic()
-                self.say(f"{end - said:.0f} s left: {len(self.asked)} jobs, {dict(self.counts)}", flush=True)
+                self.say(f"{end - said:.0f} s left: {len(self.jobs)} jobs, {dict(self.counts)}", flush=True)
             time.sleep(0.05)
-        for row in self.asked.values():  # services have no other end
+        for row in self.jobs.values():  # services have no other end
             if row.ready.description.kind == "service" and row.cancel_at is None:
                 row.cancel_at = 0.0
         deadline = time.monotonic() + 60.0 + 10.0 * LEASE_S
-        while not self.over() and time.monotonic() < deadline:
-            self.tend()
-            self.users()
+        while not self.all_final() and time.monotonic() < deadline:
+            self.resume_and_restart()
+            self.poll_jobs()
             time.sleep(0.1)
-        if not self.over():
+        if not self.all_final():
             self.breaches += [
-                f"{name}: no final answer ({row.told[-1:] or 'not accepted'})"
-                for name, row in self.asked.items()
-                if not row.told or row.told[-1][1] not in ("done", "cancelled")
+                f"{name}: no final answer ({row.answers[-1:] or 'not accepted'})"
+                for name, row in self.jobs.items()
+                if not row.answers or row.answers[-1][1] not in ("done", "cancelled")
             ]
         time.sleep(2 * REPORT_S)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for pid in self.stopped:
             self._signal(pid, signal.SIGCONT)
         for process in (self.far, self.control):
@@ -345,9 +347,9 @@
                 begins[task].append(float(at))
             else:
                 ends[task] += 1
-        for name, row in self.asked.items():
+        for name, row in self.jobs.items():
             description = row.ready.description
-            finals = {state for _, state in row.told if state in ("done", "cancelled")}
+            finals = {state for _, state in row.answers if state in ("done", "cancelled")}
             if len(finals) > 1:
                 found.append(f"{name}: told {sorted(finals)}")
             if "done" in finals:
@@ -414,15 +416,15 @@
     try:
         loopback.run(arguments.seconds, arguments.every, arguments.busy)
     finally:
-        loopback.end()
+        loopback.stop()
     found = loopback.check()
-    states = Counter(row.told[-1][1] if row.told else "none" for row in loopback.asked.values())
+    states = Counter(row.answers[-1][1] if row.answers else "none" for row in loopback.jobs.values())
     print(
         json.dumps(
             {
                 "seed": seed,
                 "seconds": arguments.seconds,
-                "jobs": len(loopback.asked),
+                "jobs": len(loopback.jobs),
                 "ended": states,
                 "counts": loopback.counts,
                 "breaches": found,
