--- a/tidebend/control/main.py
+++ b/tidebend/control/main.py
@@ -155,7 +155,7 @@
         return connect
 
     def _join_response(self, kind: str) -> JoinResponse:
-        times, resources = self.settings.times, self.provider.terms(kind)
+        times, resources = self.settings.times, self.provider.machine_type(kind)
         return JoinResponse(
             "",
             self.settings.zone,
@@ -202,7 +202,7 @@
 
     def stop(self) -> None:
         """Stop the local agents first, while they can still report; then the servers, then the store."""
-        self.provider.end()
+        self.provider.stop()
         for server in self.servers:
             server.shutdown()
             server.server_close()
