--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who gets in: keys and their rotation, and those who keep connections busy without one."""
+"""Authentication by keys, key rotation, TLS, and clients that occupy connections without a key."""
 
 import os
 import socket
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def door(tmp_path):
+def server(tmp_path):
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
     served = []
@@ -32,77 +32,79 @@
         served.append((method, path, body()))
         return Reply(200, {"n": len(served)})
 
-    gate = AuthenticatedServer(("127.0.0.1", 0), route, ring, idle_timeout_s=20.0, body_timeout_s=1.0, most=40)
-    threading.Thread(target=gate.serve_forever, daemon=True).start()
-    gate.served = served
-    yield gate
-    gate.shutdown()
-    gate.server_close()
+    server = AuthenticatedServer(
+        ("127.0.0.1", 0), route, ring, idle_timeout_s=20.0, body_timeout_s=1.0, max_connections=40
+    )
+    threading.Thread(target=server.serve_forever, daemon=True).start()
+    server.served = served
+    yield server
+    server.shutdown()
+    server.server_close()
 
 
-def client(gate, shown=None):
-    return KeyedClient(gate.server_address[:2], shown or gate.ring.bearer_token)
+def client(server, bearer_token=None):
+    return KeyedClient(server.server_address[:2], bearer_token or server.keyring.bearer_token)
 
 
-def raw(gate, text):
-    stream = socket.create_connection(gate.server_address[:2], timeout=10.0)
+def send_raw(server, text):
+    stream = socket.create_connection(server.server_address[:2], timeout=10.0)
     stream.sendall(text.encode())
     return stream
 
 
-def test_the_right_key_gets_in_and_nothing_else(door, caplog):
-    assert client(door).request("POST", "/x", {"a": 1}) == (200, {"n": 1})
-    right = door.ring.bearer_token()
+def test_the_right_key_gets_in_and_nothing_else(server, caplog):
+    assert client(server).request("POST", "/x", {"a": 1}) == (200, {"n": 1})
+    right = server.keyring.bearer_token()
     for wrong in ("", "x", right[:-1], right + "x", right.partition(".")[2], right.partition(".")[0] + ".", "\xe9"):
-        assert client(door, lambda wrong=wrong: wrong).request("POST", "/x", {"a": 1})[0] == 401
-    assert HttpClient(door.server_address[:2]).request("POST", "/x", {"a": 1})[0] == 401
-    assert len(door.served) == 1
-    assert "turned away" in caplog.text
+        assert client(server, lambda wrong=wrong: wrong).request("POST", "/x", {"a": 1})[0] == 401
+    assert HttpClient(server.server_address[:2]).request("POST", "/x", {"a": 1})[0] == 401
+    assert len(server.served) == 1
+    assert "rejected request" in caplog.text
     assert right not in caplog.text
 
 
-def test_a_rotation_stops_nothing(door):
-    path = door.ring.path
-    old = door.ring.bearer_token()
+def test_a_rotation_stops_nothing(server):
+    path = server.keyring.path
+    old = server.keyring.bearer_token()
     rotate_keyring(path, overlap_s=1.5)
     deadline = time.monotonic() + 5.0
-    while door.ring.bearer_token() == old and time.monotonic() < deadline:
+    while server.keyring.bearer_token() == old and time.monotonic() < deadline:
         time.sleep(0.05)
-    assert client(door).request("GET", "/new")[0] == 200
-    assert client(door, lambda: old).request("GET", "/old")[0] == 200
+    assert client(server).request("GET", "/new")[0] == 200
+    assert client(server, lambda: old).request("GET", "/old")[0] == 200
     time.sleep(1.6)
-    assert client(door, lambda: old).request("GET", "/old")[0] == 401
-    assert client(door).request("GET", "/new")[0] == 200
+    assert client(server, lambda: old).request("GET", "/old")[0] == 401
+    assert client(server).request("GET", "/new")[0] == 200
 
 
 def test_a_file_that_others_can_read_is_refused(tmp_path):
     create_keyring(tmp_path / "keys")
     assert os.stat(tmp_path / "keys").st_mode & 0o777 == 0o600
-    with pytest.raises(KeyFileError, match="is there already"):
+    with pytest.raises(KeyFileError, match="already exists"):
         create_keyring(tmp_path / "keys")
     os.chmod(tmp_path / "keys", 0o644)
-    with pytest.raises(KeyFileError, match="others can read"):
+    with pytest.raises(KeyFileError, match="accessible to other users"):
         Keyring(tmp_path / "keys")
 
 
-def test_a_file_that_breaks_leaves_the_known_keys_in_force(door):
-    door.ring.path.write_text("{")
+def test_a_file_that_breaks_leaves_the_known_keys_in_force(server):
+    server.keyring.path.write_text("{")
     time.sleep(0.6)
-    assert client(door).request("GET", "/x")[0] == 200
+    assert client(server).request("GET", "/x")[0] == 200
 
 
-def test_connections_that_say_nothing_keep_nobody_out(door):
-    silent = [raw(door, "") for _ in range(1000)]
+def test_connections_that_say_nothing_keep_nobody_out(server):
+    silent = [send_raw(server, "") for _ in range(1000)]
     try:
-        assert client(door).request("GET", "/x")[0] == 200
+        assert client(server).request("GET", "/x")[0] == 200
     finally:
         for stream in silent:
             stream.close()
 
 
-def test_a_body_that_comes_byte_by_byte_is_cut_off(door):
-    head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {door.ring.bearer_token()}\r\nContent-Length: 1000\r\n\r\n"
-    slow = raw(door, head)
+def test_a_body_that_comes_byte_by_byte_is_cut_off(server):
+    head = f"POST /x HTTP/1.1\r\nAuthorization: Bearer {server.keyring.bearer_token()}\r\nContent-Length: 1000\r\n\r\n"
+    slow = send_raw(server, head)
     began = time.monotonic()
 
     def send_slowly():
@@ -112,15 +114,15 @@
 
     with pytest.raises(ConnectionError):
         send_slowly()
-    # each byte came in time; the whole did not
+    # each byte arrived in time, but the whole body didn't
     assert time.monotonic() - began < 8.0
-    assert client(door).request("GET", "/x")[0] == 200
+    assert client(server).request("GET", "/x")[0] == 200
 
 
-def test_a_body_without_a_key_isnt_read(door):
-    stream = raw(door, "POST /x HTTP/1.1\r\nContent-Length: 1000\r\n\r\n")
+def test_a_body_without_a_key_isnt_read(server):
+    stream = send_raw(server, "POST /x HTTP/1.1\r\nContent-Length: 1000\r\n\r\n")
     assert b"401" in stream.recv(1000)
-    assert not door.served
+    assert not server.served
 
 
 @pytest.mark.parametrize("text", ["192.168.1.1:80", "10.0.0.1:0", "example.org:80"])
@@ -143,31 +145,31 @@
     foreign = make_certificate(tmp_path / "foreign", "server", ["127.0.0.1"])
     create_keyring(tmp_path / "keys")
     ring = Keyring(tmp_path / "keys")
-    gates = {}
-    for name, shown in (("right", tls), ("elsewhere", elsewhere)):
-        gates[name] = AuthenticatedServer(
-            ("127.0.0.1", 0), lambda *_: Reply(200, {}), ring, 20.0, 1.0, 40, shown.server_context()
+    servers = {}
+    for name, certificate in (("right", tls), ("elsewhere", elsewhere)):
+        servers[name] = AuthenticatedServer(
+            ("127.0.0.1", 0), lambda *_: Reply(200, {}), ring, 20.0, 1.0, 40, certificate.server_context()
         )
-        threading.Thread(target=gates[name].serve_forever, daemon=True).start()
+        threading.Thread(target=servers[name].serve_forever, daemon=True).start()
     try:
 
-        def ask(gate, key, trusted):
-            address = gates[gate].server_address[:2]
+        def ask(name, key, trusted):
+            address = servers[name].server_address[:2]
             return KeyedClient(address, lambda: key, tls=trusted and trusted.client_context()).request("GET", "/x")[0]
 
         assert ask("right", ring.bearer_token(), tls) == 200
         assert ask("right", "wrong", tls) == 401
-        for gate, trusted in (("right", foreign), ("right", None), ("elsewhere", tls)):
+        for name, trusted in (("right", foreign), ("right", None), ("elsewhere", tls)):
             with pytest.raises((UnreachableError, NoAnswerError)):
-                ask(gate, ring.bearer_token(), trusted)
-        silent = [raw(gates["right"], "") for _ in range(100)]  # no handshake: guests like others
+                ask(name, ring.bearer_token(), trusted)
+        silent = [send_raw(servers["right"], "") for _ in range(100)]  # no handshake: counted as unauthenticated, too
         assert ask("right", ring.bearer_token(), tls) == 200
         for stream in silent:
             stream.close()
     finally:
-        for gate in gates.values():
-            gate.shutdown()
-            gate.server_close()
+        for server in servers.values():
+            server.shutdown()
+            server.server_close()
     os.chmod(tls.key, 0o644)
-    with pytest.raises(CertificateError, match="others can read"):
+    with pytest.raises(CertificateError, match="accessible to other users"):
         tls.server_context()
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -166,7 +166,7 @@
         # keys are made once, rotated without stopping anything, and never shown
         secret = json.loads((tmp_path / "keys.json").read_text())["keys"][0]["secret"]
         assert secret not in service("keys", "show")
-        assert "is there already" in service("keys", "make", status=3)
+        assert "already exists" in service("keys", "make", status=3)
         service("keys", "rotate")
         time.sleep(1.0)
         assert service("cancel", web).split()[1] == "cancelled"
--- a/tidebend/access/__init__.py
+++ b/tidebend/access/__init__.py
@@ -1,4 +1,4 @@
-"""Who may come in: keys, the servers that ask for them, the clients that show them, and TLS beyond loopback."""
+"""Authentication: keys, servers that require them, clients that send them, and TLS beyond the loopback interface."""
 
 from tidebend.access.addresses import NotLoopbackError, parse_address, parse_listen_address
 from tidebend.access.authentication import AuthenticatedServer
--- a/tidebend/access/addresses.py
+++ b/tidebend/access/addresses.py
@@ -1,4 +1,4 @@
-"""Where something may listen: on this machine, or beyond it with TLS."""
+"""Addresses to listen on: loopback only, unless TLS is configured."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class NotLoopbackError(Exception):
-    """Refused: beyond this machine the key would travel in the clear."""
+    """An address beyond loopback without TLS, where the key would be sent in clear text."""
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """`HOST:PORT`; port 0 is any free one. Raises ValueError."""
+    """Parse `HOST:PORT`; port 0 means any free port. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"{text!r} is not HOST:PORT")
@@ -18,19 +18,22 @@
 
 
 def parse_listen_address(text: str, tls: bool) -> tuple[str, int]:
-    """The same, on the loopback interface unless there is TLS. Raises ValueError or NotLoopback."""
+    """Parse `HOST:PORT`, which must be on the loopback interface unless TLS is used.
+
+    Raises ValueError or NotLoopbackError.
+    """
     host, port = parse_address(text)
-    inside = host == "localhost"
+    loopback = host == "localhost"
     if any(letter in host for letter in ":0123456789") and not any(letter.isalpha() for letter in host):
         address = ipaddress.ip_address(host)
         if address.version != 4:
-            raise ValueError(f"{text}: only IPv4 addresses are served")
+            raise ValueError(f"{text}: only IPv4 addresses are supported")
         if address.is_unspecified:
-            raise ValueError(f"{text}: name one address of this machine, since others are told to call it")
-        inside = address.is_loopback
-    if not inside and not tls:
+            raise ValueError(f"{text}: give one address of this machine, since peers connect to the address given here")
+        loopback = address.is_loopback
+    if not loopback and not tls:
         raise NotLoopbackError(
-            f"{text}: beyond loopback nothing goes without TLS, since the key would travel in the clear; "
-            "use an address in 127.0.0.0/8, or a tls block (`tidebend certs make`)"
+            f"{text}: addresses beyond loopback can't be used without TLS, since the key would be sent in clear text; "
+            "use an address in 127.0.0.0/8, or add a tls block (`tidebend certs make`)"
         )
     return host, port
--- a/tidebend/access/client.py
+++ b/tidebend/access/client.py
@@ -1,4 +1,4 @@
-"""A client that shows a key with each request, inside TLS where there is a context for it."""
+"""HTTP client that authenticates each request with a key."""
 
 from __future__ import annotations
 
@@ -13,13 +13,17 @@
 
 
 class KeyedClient(HttpClient):
-    """A client that shows a key with each request, and uses TLS if it has a context for it."""
+    """HTTP client that sends a key with each request, and uses TLS if it is given a context."""
 
     def __init__(
-        self, address: tuple[str, int], shown: Callable[[], str], max_idle: int = 4, tls: ssl.SSLContext | None = None
+        self,
+        address: tuple[str, int],
+        bearer_token: Callable[[], str],
+        max_idle: int = 4,
+        tls: ssl.SSLContext | None = None,
     ) -> None:
         super().__init__(address, max_idle)
-        self._shown = shown
+        self._bearer_token = bearer_token
         self._tls = tls
 
     def _connection(self, timeout: float) -> http.client.HTTPConnection:
@@ -28,4 +32,4 @@
         return http.client.HTTPSConnection(*self.address, timeout=timeout, context=self._tls)
 
     def _headers(self, with_body: bool) -> dict[str, str]:
-        return {**super()._headers(with_body), HEADER: SCHEME + self._shown()}
+        return {**super()._headers(with_body), HEADER: SCHEME + self._bearer_token()}
--- a/tidebend/access/files.py
+++ b/tidebend/access/files.py
@@ -8,16 +8,16 @@
 
 
 def write_private(path: Path, data: bytes) -> None:
-    """Whole or not at all, on the disk when it returns, and readable by its owner alone at any moment."""
-    beside = path.with_name(f"{path.name}.{secrets.token_hex(4)}")
-    file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+    """Write a file atomically and durably; only its owner can read it at any time."""
+    temporary = path.with_name(f"{path.name}.{secrets.token_hex(4)}")
+    file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     with os.fdopen(file, "wb") as out:
         out.write(data)
         out.flush()
         os.fsync(out.fileno())
-    os.replace(beside, path)
-    folder = os.open(path.parent, os.O_RDONLY)
+    os.replace(temporary, path)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/tidebend/access/tls.py
+++ b/tidebend/access/tls.py
@@ -1,6 +1,6 @@
-"""TLS beyond loopback: an authority of one's own, certificates from it, and contexts for servers and clients.
+"""TLS beyond loopback: a private certificate authority, its certificates, and contexts for servers and clients.
 
-Both sides are checked: a server by its certificate, whoever calls by the key in the header, which travels only inside.
+Servers are authenticated by their certificate, clients by the key in the request header, which is sent only over TLS.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
 from tidebend.access.files import write_private
 
 AUTHORITY, AUTHORITY_KEY = "authority.pem", "authority.key"
-DAYS = 825
+CERTIFICATE_DAYS = 825
 AUTHORITY_DAYS = 3650
 
 
 class CertificateError(Exception):
-    """A certificate or its key can't be used; the text names the file and says why."""
+    """A certificate or its private key can't be used; the message names the file and the reason."""
 
 
 class Tls(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Files: who is trusted, what is shown, and its private key."""
+    """Paths of the trusted authority's certificate, the own certificate, and its private key."""
 
     authority: str
     certificate: str
     key: str
 
     def server_context(self) -> ssl.SSLContext:
-        """Raises CertificateError."""
+        """Return a context for servers. Raises CertificateError."""
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         for path in (self.certificate, self.key):
             if not os.access(path, os.R_OK):
-                raise CertificateError(f"{path}: can't be read")
+                raise CertificateError(f"{path}: missing or not readable")
         if os.stat(self.key).st_mode & 0o077:
-            raise CertificateError(f"{self.key}: others can read it; chmod 600 {self.key}")
-        until = certificate_expiry(Path(self.certificate))
-        if until < datetime.datetime.now(datetime.UTC):
+            raise CertificateError(f"{self.key}: accessible to other users; run chmod 600 {self.key}")
+        expiry = certificate_expiry(Path(self.certificate))
+        if expiry < datetime.datetime.now(datetime.UTC):
             raise CertificateError(
-                f"{self.certificate}: has run out on {until:%Y-%m-%d}; `tidebend certs make` makes another"
+                f"{self.certificate}: expired on {expiry:%Y-%m-%d}; create a new one with `tidebend certs make`"
             )
         try:
             context.load_cert_chain(self.certificate, self.key)
@@ -57,12 +57,12 @@
         return context
 
     def client_context(self) -> ssl.SSLContext:
-        """Raises CertificateError."""
+        """Return a context for clients. Raises CertificateError."""
         return client_ssl_context(self.authority)
 
 
 def client_ssl_context(authority: str) -> ssl.SSLContext:
-    """For clients of servers that this authority vouches for. Raises CertificateError."""
+    """Return a context for clients that trusts servers certified by this authority. Raises CertificateError."""
     try:
         context = ssl.create_default_context(cafile=authority)
     except (ssl.SSLError, OSError) as error:
@@ -72,7 +72,7 @@
 
 
 def certificate_expiry(path: Path) -> datetime.datetime:
-    """Raises CertificateError."""
+    """Return when a certificate expires. Raises CertificateError."""
     try:
         return x509.load_pem_x509_certificate(path.read_bytes()).not_valid_after_utc
     except (OSError, ValueError) as error:
@@ -80,7 +80,10 @@
 
 
 def make_certificate(directory: Path, name: str, hosts: list[str]) -> Tls:
-    """A certificate for these names and addresses, from the directory's authority, which is made at the first call."""
+    """Issue a certificate for these host names and addresses.
+
+    It is signed by the authority in `directory`, which is created if there is none.
+    """
     directory.mkdir(parents=True, exist_ok=True, mode=0o700)
     if not (directory / AUTHORITY).exists():
         _make_authority(directory)
@@ -90,14 +93,16 @@
         serialization.load_pem_private_key((directory / AUTHORITY_KEY).read_bytes(), None),
     )
     key = ec.generate_private_key(ec.SECP256R1())
-    builder = _builder(hosts[0], authority.subject, key, DAYS)
-    builder = builder.add_extension(x509.SubjectAlternativeName([_host(host) for host in hosts]), critical=False)
+    builder = _certificate_builder(hosts[0], authority.subject, key, CERTIFICATE_DAYS)
+    builder = builder.add_extension(
+        x509.SubjectAlternativeName([_alternative_name(host) for host in hosts]), critical=False
+    )
     builder = builder.add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
     builder = builder.add_extension(x509.ExtendedKeyUsage([ExtendedKeyUsageOID.SERVER_AUTH]), critical=False)
     builder = builder.add_extension(
         x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False
     )
-    write_private(directory / f"{name}.key", _private(key))
+    write_private(directory / f"{name}.key", _private_pem(key))
     write_private(
         directory / f"{name}.pem", builder.sign(signer, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
     )
@@ -107,7 +112,7 @@
 def _make_authority(directory: Path) -> None:
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "tidebend authority")])
-    builder = _builder("tidebend authority", subject, key, AUTHORITY_DAYS)
+    builder = _certificate_builder("tidebend authority", subject, key, AUTHORITY_DAYS)
     builder = builder.add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
     builder = builder.add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
     builder = builder.add_extension(
@@ -124,11 +129,13 @@
         ),
         critical=True,
     )
-    write_private(directory / AUTHORITY_KEY, _private(key))
+    write_private(directory / AUTHORITY_KEY, _private_pem(key))
     write_private(directory / AUTHORITY, builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM))
 
 
-def _builder(name: str, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int) -> x509.CertificateBuilder:
+def _certificate_builder(
+    name: str, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int
+) -> x509.CertificateBuilder:
     now = datetime.datetime.now(datetime.UTC)
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name[:64])])
     return (
@@ -142,14 +149,14 @@
     )
 
 
-def _host(text: str) -> x509.GeneralName:
+def _alternative_name(text: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(text))
     except ValueError:
         return x509.DNSName(text)
 
 
-def _private(key: ec.EllipticCurvePrivateKey) -> bytes:
+def _private_pem(key: ec.EllipticCurvePrivateKey) -> bytes:
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
