--- a/tidebend/messages/__init__.py
+++ b/tidebend/messages/__init__.py
@@ -1,4 +1,4 @@
-"""Schemas of what the control service, its agents and its users tell each other beside the protocol: one place each."""
+"""Schemas of the messages between control service, agents and users that aren't part of the protocol."""
 
 from tidebend.messages.agents import GangMemberStatus, GangPhase, GangVerdict, JoinRequest, JoinResponse, Verdict
 from tidebend.messages.descriptions import Description, ProcessLimits
--- a/tidebend/messages/agents.py
+++ b/tidebend/messages/agents.py
@@ -1,4 +1,4 @@
-"""What agents and the control service tell each other beside reports and orders."""
+"""Messages between agents and the control service other than reports and commands."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True):
-    """An agent asks to be a machine. `nonce` is its own for this life, so that asking again gives the same name.
+    """An agent's request to join as a machine.
 
-    `left` names machines that it was before and has left, with all that it ran ended.
+    `nonce` is unique to the agent's time as one machine, so that a repeated request gets the same name. `left` names
+    machines as which the agent ran before and which it has left, after all their tasks had ended.
     """
 
     nonce: Name
@@ -24,7 +25,7 @@
 
 
 class JoinResponse(msgspec.Struct, frozen=True):
-    """The name it reports under from now on, and what holds between workers and controllers here."""
+    """The name that the agent uses in its reports, the machine's resources, and the settings shared by all machines."""
 
     machine: Name
     zone: str
@@ -39,7 +40,7 @@
 
 
 class GangMemberStatus(msgspec.Struct, frozen=True):
-    """A gang's task tells that it waits, runs, has finished well, or is lost."""
+    """Status of a gang's task: waiting, running, finished successfully, or lost."""
 
     job: str
     attempt: Annotated[int, msgspec.Meta(ge=0)]
@@ -49,6 +50,6 @@
 
 
 class GangVerdict(msgspec.Struct, frozen=True):
-    """What follows for it: start, all are done, or a mate is gone. At most one holds."""
+    """Answer to a gang's task: wait, start, all tasks are done, or another task of the gang is lost."""
 
     verdict: Verdict
--- a/tidebend/messages/descriptions.py
+++ b/tidebend/messages/descriptions.py
@@ -1,4 +1,4 @@
-"""What a task runs. It goes to the control service at submission, and from there to the agents that need it."""
+"""Descriptions of jobs, sent to the control service at submission and fetched by the agents that run their tasks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ProcessLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What a task's processes may take, each of them; kept by the system (`setrlimit`). None: no bound."""
+    """Resource limits of each process of a task, enforced by the kernel (`setrlimit`). None: no limit."""
 
     memory_gb: Annotated[float, msgspec.Meta(gt=0)] | None = None
     cpu_s: Annotated[int, msgspec.Meta(ge=1)] | None = None
@@ -28,12 +28,12 @@
     cpus: Amount = 0.0
     gpus: Amount = 0.0
     memory_gb: Amount = 0.0
-    # made ready once on an agent by `prepare`, in a directory of its own; tasks find it as TIDEBEND_IMAGE
+    # Prepared once on each agent by the `prepare` command, in its own directory, which tasks find in TIDEBEND_IMAGE.
     image: Annotated[str, msgspec.Meta(pattern=r"^([A-Za-z0-9][A-Za-z0-9_.\-]{0,100})?$")] = ""
     prepare: list[Text] = []
     environment: dict[Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z_][A-Za-z0-9_]*$")], Text] = {}
-    directory: Text | None = None  # None: a fresh one for each start
-    checkpoints: Text | None = None  # a directory that all agents share
+    directory: Text | None = None  # None: a new one for each attempt
+    checkpoints: Text | None = None  # a directory shared by all agents
     checkpoint_s: Amount = 0.0
     save_s: Amount = 0.0
     bounds: ProcessLimits = ProcessLimits()
--- a/tidebend/messages/paths.py
+++ b/tidebend/messages/paths.py
@@ -1,4 +1,4 @@
-"""Paths beside the protocol's: of the control service's desk, and of an agent."""
+"""HTTP paths of the control service and of agents that aren't part of the protocol."""
 
 CONTROL_API = "/desk/"
 AGENTS = CONTROL_API + "agents"
