--- a/tidebend/agent/__init__.py
+++ b/tidebend/agent/__init__.py
@@ -1,4 +1,7 @@
-"""The thin agent: reports and obeys, keeps its tasks as processes, and decides nothing about placement."""
+"""The agent of one machine: runs tasks as processes, reports their states, and executes the controllers' commands.
+
+Controllers alone decide which tasks run where.
+"""
 
 from tidebend.agent.main import run_agent
 from tidebend.agent.processes import kill_recorded_processes
--- a/tidebend/agent/main.py
+++ b/tidebend/agent/main.py
@@ -1,4 +1,4 @@
-"""One agent: joins the control service, and is a machine until it is told to leave or to end."""
+"""Main loop of an agent: joins the control service and runs as a machine until it is told to leave or to end."""
 
 from __future__ import annotations
 
@@ -23,28 +23,33 @@
 
 log = logging.getLogger("agent")
 
-STACK_BYTES = 256 * 1024
-MOST_CONNECTIONS = 64
+THREAD_STACK_BYTES = 256 * 1024
+MAX_CONNECTIONS = 64
 
 
 def run_agent(settings: AgentSettings) -> int:
-    """Until SIGTERM or SIGINT; the exit status. Raises DirectoryLockedError, BadDiary, BadKeys or Refused."""
-    threading.stack_size(STACK_BYTES)
-    directory = settings.place()
-    lock = _locked(directory)
-    ring = Keyring(Path(settings.key_file))
+    """Run until SIGTERM or SIGINT; return the exit status.
+
+    Raises DirectoryLockedError, WriteAheadLogError, KeyFileError or AdmissionRefusedError.
+    """
+    threading.stack_size(THREAD_STACK_BYTES)
+    directory = settings.data_directory()
+    lock = _lock_directory(directory)
+    keyring = Keyring(Path(settings.key_file))
     write_ahead_log = WriteAheadLog(directory)
-    me = read_process_info(os.getpid())
-    write_ahead_log.set_facts(pid=str(os.getpid()), started=str(me.start_ticks if me else 0), boot=boot_id())
-    ended = threading.Event()
+    own_process = read_process_info(os.getpid())
+    write_ahead_log.set_facts(
+        pid=str(os.getpid()), started=str(own_process.start_ticks if own_process else 0), boot=boot_id()
+    )
+    stopping = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: ended.set())
+        signal.signal(number, lambda *_: stopping.set())
     try:
         if write_ahead_log.get_fact("gone"):
-            log.info("this machine was given back: ending")
+            log.info("this machine was released: ending")
             return 0
-        while not ended.is_set():
-            if not _be_a_machine(settings, ring, write_ahead_log, ended):
+        while not stopping.is_set():
+            if not _run_as_machine(settings, keyring, write_ahead_log, stopping):
                 return 0
     finally:
         write_ahead_log.close()
@@ -52,10 +57,10 @@
     return 0
 
 
-def _locked(directory: Path) -> DirectoryLock:
-    """Lock the directory: two agents with one write-ahead log would end each other's tasks.
+def _lock_directory(directory: Path) -> DirectoryLock:
+    """Lock the data directory, since two agents with one write-ahead log would end each other's tasks.
 
-    The provider holds the lock for a moment at times.
+    Retries for 2 seconds, because the provider holds the lock briefly at times.
     """
     for _ in range(20):
         try:
@@ -65,79 +70,82 @@
     return DirectoryLock(directory)
 
 
-def _be_a_machine(
-    settings: AgentSettings, ring: Keyring, write_ahead_log: WriteAheadLog, ended: threading.Event
+def _run_as_machine(
+    settings: AgentSettings, keyring: Keyring, write_ahead_log: WriteAheadLog, stopping: threading.Event
 ) -> bool:
-    """One life as one machine; False if the agent is to end."""
+    """Join and run as one machine; return False if the agent should end."""
     nonce = write_ahead_log.get_fact("nonce")
     if not nonce:
         nonce = uuid.uuid4().hex
-        # a new machine begins anew: nobody knows its sessions or tokens
+        # No controller knows sessions or tokens of a new machine, so both start from 0.
         write_ahead_log.set_facts(nonce=nonce, session="0", token="0")
     try:
-        terms = _join(settings, ring, nonce, write_ahead_log.get_fact("left").split(), ended)
+        config = _join_control_service(settings, keyring, nonce, write_ahead_log.get_fact("left").split(), stopping)
     except MachineReplacedError:
-        # by an operator's word, while we were away: whatever is left of that life ends before another begins
+        # An operator removed the machine while the agent wasn't running; its processes end before a new machine starts.
         while not kill_recorded_processes(write_ahead_log):
-            log.error("processes of an earlier life can't be ended; trying again")
+            log.error("processes of the former machine can't be ended; trying again")
         write_ahead_log.set_facts(nonce="", machine="")
-        return not ended.wait(0.5)
-    if terms is None:
+        return not stopping.wait(0.5)
+    if config is None:
         return False
-    write_ahead_log.set_facts(machine=terms.machine, left="")
-    link = ControlConnection(ring, terms, settings.tls)
-    # the port is known before the first report is made, and the routes once there is a worker
-    gate = AuthenticatedServer(
+    write_ahead_log.set_facts(machine=config.machine, left="")
+    connection = ControlConnection(keyring, config, settings.tls)
+    # The worker's reports contain the server's port, and the routes need the worker, so the server comes first.
+    server = AuthenticatedServer(
         parse_address(settings.listen),
         lambda *_: Reply(503, {"error": "starting"}),
-        ring,
-        2 * terms.lease_s,
-        min(5.0, terms.lease_s / 2),
-        MOST_CONNECTIONS,
+        keyring,
+        2 * config.lease_s,
+        min(5.0, config.lease_s / 2),
+        MAX_CONNECTIONS,
         settings.tls.server_context() if settings.tls else None,
     )
     worker = Worker(
-        settings.place(),
+        settings.data_directory(),
         write_ahead_log,
-        terms,
-        f"{gate.host}:{gate.port}",
+        config,
+        f"{server.host}:{server.port}",
         settings.kind,
-        lambda _: link.fetch_wanted.set(),
-        link.gang_status_wanted.set,
-        link.changed.set,
+        lambda _: connection.fetch_wanted.set(),
+        connection.gang_status_wanted.set,
+        connection.report_wanted.set,
     )
-    gate.route = endpoints.route(worker)
+    server.route = endpoints.route(worker)
     thread = worker.start()
-    link.start(worker)
-    threading.Thread(target=gate.serve_forever, kwargs={"poll_interval": 1.0}, name="doors", daemon=True).start()
-    log.info("machine %s of type %s listens on %s", terms.machine, settings.kind, worker.address)
-    alone_s = settings.alone_leases * terms.lease_s
-    while thread.is_alive() and not ended.wait(0.2):
-        if alone_s and time.monotonic() - link.heard > alone_s:
-            log.warning("nothing heard of the control service for %.0f s: ending", alone_s)
-            ended.set()
+    connection.start(worker)
+    threading.Thread(target=server.serve_forever, kwargs={"poll_interval": 1.0}, name="doors", daemon=True).start()
+    log.info("machine %s of type %s listens on %s", config.machine, settings.kind, worker.address)
+    max_silence_s = settings.alone_leases * config.lease_s
+    while thread.is_alive() and not stopping.wait(0.2):
+        if max_silence_s and time.monotonic() - connection.last_answer_at > max_silence_s:
+            log.warning("no answer from the control service for %.0f s: ending", max_silence_s)
+            stopping.set()
     if thread.is_alive():
         worker.call(worker.stop, timeout=30.0)
         thread.join(5.0)
-    link.end()
-    time.sleep(0.1)  # whoever told us to leave gets his answer
-    gate.shutdown()
-    gate.server_close()
-    return not ended.is_set()
+    connection.end()
+    time.sleep(0.1)  # lets the answer to a leave request be sent
+    server.shutdown()
+    server.server_close()
+    return not stopping.is_set()
 
 
-def _join(
-    settings: AgentSettings, ring: Keyring, nonce: str, left: list[str], ended: threading.Event
+def _join_control_service(
+    settings: AgentSettings, keyring: Keyring, nonce: str, left: list[str], stopping: threading.Event
 ) -> JoinResponse | None:
     client = KeyedClient(
-        parse_address(settings.control), ring.bearer_token, 1, settings.tls.client_context() if settings.tls else None
+        parse_address(settings.control),
+        keyring.bearer_token,
+        1,
+        settings.tls.client_context() if settings.tls else None,
     )
     since = time.monotonic()
-    while not ended.is_set():
-        terms = join(client, JoinRequest(nonce, settings.kind, settings.label or os.uname().nodename, left))
-        if terms is not None:
-            return terms
+    while not stopping.is_set():
+        config = join(client, JoinRequest(nonce, settings.kind, settings.label or os.uname().nodename, left))
+        if config is not None:
+            return config
         if settings.alone_leases and time.monotonic() - since > 60.0 * settings.alone_leases:
             return None
-        ended.wait(0.5)
+        stopping.wait(0.5)
     return None
--- a/tidebend/agent/processes.py
+++ b/tidebend/agent/processes.py
@@ -1,4 +1,4 @@
-"""Processes of tasks: how they start, how one knows them again, and how all that descends from them is ended."""
+"""Processes of tasks: starting them, recognizing them after a restart, and killing all their descendants."""
 
 from __future__ import annotations
 
@@ -18,33 +18,33 @@
 
 MARK_VARIABLE = "TIDEBEND_MARK"
 PR_SET_CHILD_SUBREAPER = 36
-# Waits for a word on its input before it becomes the task: the agent first writes down who it is. If the agent dies
-# before that, the input ends and nothing starts. Exit status 125 is seen by nobody then.
-STUB = 'IFS= read -r go || exit 125; exec "$@" </dev/null'
+# Waits for a line on standard input before it executes the task's command, so that the agent can record its process id
+# first. If the agent dies before that, the input ends and the task doesn't start; nobody reads exit status 125 then.
+LAUNCH_SCRIPT = 'IFS= read -r go || exit 125; exec "$@" </dev/null'
 
 
 def adopt_orphans() -> None:
-    """Have whatever a task leaves behind become our child instead of the system's, so that it can be found."""
+    """Make the agent the parent of orphaned descendants, instead of init, so that it can find them."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 
 
 def boot_id() -> str:
-    """Return an id that changes each time the machine boots."""
+    """Return the kernel's id of the current boot."""
     return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessInfo:
-    """What the system tells of a process."""
+    """Information about a process from /proc."""
 
     pid: int
     parent: int
-    start_ticks: int  # ticks since the machine booted; a clock that is set changes nothing here
-    dead: bool  # ended, and only its parent hasn't asked yet
+    start_ticks: int  # clock ticks since boot, which setting the wall clock doesn't change
+    has_exited: bool  # a zombie: its parent hasn't waited for it yet
 
 
 def read_process_info(pid: int) -> ProcessInfo | None:
-    """None if there is no such process."""
+    """Return information about a process, None if it doesn't exist."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -54,33 +54,33 @@
 
 
 def all_processes() -> list[ProcessInfo]:
-    """Return all processes of the machine that can be seen."""
+    """Return all visible processes of the machine."""
     found = (read_process_info(int(name)) for name in os.listdir("/proc") if name.isdigit())
-    return [seen for seen in found if seen is not None]
+    return [info for info in found if info is not None]
 
 
 def process_mark(pid: int) -> str | None:
-    """The mark that a process was started with, None if it has none or may not be asked."""
+    """Return the mark in a process's environment, None if it has none or its environment isn't readable."""
     try:
         raw = Path(f"/proc/{pid}/environ").read_bytes()
     except OSError:
         return None
-    for row in raw.split(b"\0"):
-        if row.startswith(MARK_VARIABLE.encode() + b"="):
-            return row[len(MARK_VARIABLE) + 1 :].decode("ascii", "replace")
+    for variable in raw.split(b"\0"):
+        if variable.startswith(MARK_VARIABLE.encode() + b"="):
+            return variable[len(MARK_VARIABLE) + 1 :].decode("ascii", "replace")
     return None
 
 
 class TaskLauncher:
-    """A process that waits to become the task."""
+    """A process that waits for `release` before it executes a task's command."""
 
     def __init__(self, command: list[str], environment: dict[str, str], directory: Path, output: int) -> None:
-        """Raises OSError."""
-        ours, theirs = os.pipe()
+        """Start the process. Raises OSError."""
+        read_end, write_end = os.pipe()
         try:
             self.process = subprocess.Popen(
-                ["/bin/sh", "-c", STUB, "task", *command],
-                stdin=ours,
+                ["/bin/sh", "-c", LAUNCH_SCRIPT, "task", *command],
+                stdin=read_end,
                 stdout=output,
                 stderr=output,
                 cwd=directory,
@@ -88,111 +88,111 @@
                 start_new_session=True,
             )
         except BaseException:
-            os.close(theirs)
+            os.close(write_end)
             raise
         finally:
-            os.close(ours)
-        self._word = theirs
-        seen = read_process_info(self.process.pid)
-        self.start_ticks = seen.start_ticks if seen else 0
-
-    def bound(self, bounds: ProcessLimits) -> None:
-        """Raises OSError or ValueError."""
-        rows = [(resource.RLIMIT_CORE, 0)]
-        if bounds.memory_gb is not None:
-            rows.append((resource.RLIMIT_AS, int(bounds.memory_gb * 1024**3)))
-        if bounds.cpu_s is not None:
-            rows.append((resource.RLIMIT_CPU, bounds.cpu_s))
-        if bounds.file_mb is not None:
-            rows.append((resource.RLIMIT_FSIZE, bounds.file_mb * 1024**2))
-        if bounds.open_files is not None:
-            rows.append((resource.RLIMIT_NOFILE, bounds.open_files))
-        for which, value in rows:
-            resource.prlimit(self.process.pid, which, (value, value))
-
-    def go(self) -> None:
-        """Let the process become the task."""
+            os.close(read_end)
+        self._release_pipe = write_end
+        info = read_process_info(self.process.pid)
+        self.start_ticks = info.start_ticks if info else 0
+
+    def apply_limits(self, process_limits: ProcessLimits) -> None:
+        """Set the process's resource limits. Raises OSError or ValueError."""
+        limits = [(resource.RLIMIT_CORE, 0)]
+        if process_limits.memory_gb is not None:
+            limits.append((resource.RLIMIT_AS, int(process_limits.memory_gb * 1024**3)))
+        if process_limits.cpu_s is not None:
+            limits.append((resource.RLIMIT_CPU, process_limits.cpu_s))
+        if process_limits.file_mb is not None:
+            limits.append((resource.RLIMIT_FSIZE, process_limits.file_mb * 1024**2))
+        if process_limits.open_files is not None:
+            limits.append((resource.RLIMIT_NOFILE, process_limits.open_files))
+        for limit, value in limits:
+            resource.prlimit(self.process.pid, limit, (value, value))
+
+    def release(self) -> None:
+        """Let the process execute the task's command."""
         with contextlib.suppress(OSError):
-            os.write(self._word, b"go\n")
-        self.drop()
+            os.write(self._release_pipe, b"go\n")
+        self.close_input()
 
-    def drop(self) -> None:
-        """Without a word it exits and has never been the task."""
-        if self._word >= 0:
-            os.close(self._word)
-            self._word = -1
+    def close_input(self) -> None:
+        """Close the input; unless released before, the process exits without executing the command."""
+        if self._release_pipe >= 0:
+            os.close(self._release_pipe)
+            self._release_pipe = -1
 
 
 def signal_group(pid: int, number: int) -> None:
-    """Send a signal to a process group, if it is there."""
+    """Send a signal to a process group, if it exists."""
     with contextlib.suppress(ProcessLookupError, PermissionError):
         os.killpg(pid, number)
 
 
-def reap_strangers(ours: Iterable[int]) -> list[ProcessInfo]:
-    """Children that we adopted and that aren't tasks' own first processes; those that have ended are let go."""
-    known = set(ours)
-    left = []
-    me = os.getpid()
-    for seen in all_processes():
-        if seen.parent != me or seen.pid in known:
+def reap_orphans(task_pids: Iterable[int]) -> list[ProcessInfo]:
+    """Reap exited children except the tasks' first processes; return those that still run."""
+    known_pids = set(task_pids)
+    remaining = []
+    own_pid = os.getpid()
+    for info in all_processes():
+        if info.parent != own_pid or info.pid in known_pids:
             continue
-        if seen.dead:
+        if info.has_exited:
             with contextlib.suppress(ChildProcessError):
-                os.waitpid(seen.pid, os.WNOHANG)
+                os.waitpid(info.pid, os.WNOHANG)
         else:
-            left.append(seen)
-    return left
+            remaining.append(info)
+    return remaining
 
 
-def end_marked(marks: set[str], timeout: float) -> set[str]:
-    """Kill every process that carries one of the marks; those of marks that are still there after `timeout` seconds."""
+def kill_marked(marks: set[str], timeout: float) -> set[str]:
+    """Kill every process with one of the marks; return the marks whose processes still run after `timeout` seconds."""
     deadline = time.monotonic() + timeout
-    pause = 0.005
+    pause_s = 0.005
     while True:
-        left = set()
-        for seen in all_processes():
-            if seen.dead or seen.pid == os.getpid():
+        remaining = set()
+        for info in all_processes():
+            if info.has_exited or info.pid == os.getpid():
                 continue
-            mark = process_mark(seen.pid)
+            mark = process_mark(info.pid)
             if mark in marks:
-                left.add(mark)
+                remaining.add(mark)
                 with contextlib.suppress(ProcessLookupError, PermissionError):
-                    os.kill(seen.pid, signal.SIGKILL)
-        if not left or time.monotonic() > deadline:
-            return left
-        time.sleep(pause)
-        pause = min(0.1, 2 * pause)
+                    os.kill(info.pid, signal.SIGKILL)
+        if not remaining or time.monotonic() > deadline:
+            return remaining
+        time.sleep(pause_s)
+        pause_s = min(0.1, 2 * pause_s)
 
 
-def end_children(timeout: float = 5.0) -> bool:
-    """Kill all that descends from us when none of it is a task's any more; whether something is left."""
+def kill_children(timeout: float = 5.0) -> bool:
+    """Kill all child processes, once no task runs; return whether some still run after `timeout` seconds."""
     deadline = time.monotonic() + timeout
     while True:
-        left = reap_strangers(())
-        for seen in left:
+        remaining = reap_orphans(())
+        for info in remaining:
             with contextlib.suppress(ProcessLookupError, PermissionError):
-                os.kill(seen.pid, signal.SIGKILL)
-        if not left or time.monotonic() > deadline:
-            return bool(left)
+                os.kill(info.pid, signal.SIGKILL)
+        if not remaining or time.monotonic() > deadline:
+            return bool(remaining)
         time.sleep(0.01)
 
 
-def is_running(row: StartedProcess) -> bool:
-    """Whether the process that was written down is there: a process id may have been given to another since."""
-    if row.pid is None or row.boot != boot_id():
+def is_running(process: StartedProcess) -> bool:
+    """Return whether the recorded process runs; its process id may have been reused by another since."""
+    if process.pid is None or process.boot != boot_id():
         return False
-    seen = read_process_info(row.pid)
-    return seen is not None and seen.start_ticks == row.start_ticks and not seen.dead
+    info = read_process_info(process.pid)
+    return info is not None and info.start_ticks == process.start_ticks and not info.has_exited
 
 
 def kill_recorded_processes(write_ahead_log: WriteAheadLog, timeout: float = 10.0) -> bool:
-    """End all that an agent before us, or one that is gone, has begun; True once none of it is there any more."""
-    rows = write_ahead_log.recorded_processes()
-    for row in rows:
-        if row.pid is not None and is_running(row):
-            signal_group(row.pid, signal.SIGKILL)
-    left = end_marked({row.mark for row in rows}, timeout) if rows else set()
-    left |= {row.mark for row in rows if is_running(row)}
-    write_ahead_log.record_ends([row.mark for row in rows if row.mark not in left])
-    return not left
+    """Kill all recorded processes, left by an earlier or a removed agent; return True once none of them runs."""
+    processes = write_ahead_log.recorded_processes()
+    for process in processes:
+        if process.pid is not None and is_running(process):
+            signal_group(process.pid, signal.SIGKILL)
+    remaining = kill_marked({process.mark for process in processes}, timeout) if processes else set()
+    remaining |= {process.mark for process in processes if is_running(process)}
+    write_ahead_log.record_ends([process.mark for process in processes if process.mark not in remaining])
+    return not remaining
--- a/tidebend/agent/settings.py
+++ b/tidebend/agent/settings.py
@@ -1,4 +1,4 @@
-"""An agent's own settings, from an HCL file."""
+"""Settings of an agent, read from an HCL file."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 
 
 class AgentSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An agent's settings, as its file has them."""
+    """Settings of an agent."""
 
     control: str  # HOST:PORT of the control service
     key_file: str
-    data: str  # the agent's own directory
+    data: str  # data directory
     kind: Name  # one of the control service's machine types
     label: Annotated[str, msgspec.Meta(max_length=100)] = ""
     listen: str = "127.0.0.1:0"
-    # ends itself after so many leases in which it heard nothing of the control service; 0: never
+    # The agent ends itself after this time without an answer from the control service, in leases; 0: never.
     alone_leases: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     tls: Tls | None = None
 
-    def place(self) -> Path:
-        """Return the agent's own directory."""
+    def data_directory(self) -> Path:
+        """Return the data directory."""
         return Path(self.data)
 
 
 def load_agent_settings(path: str) -> AgentSettings:
-    """Raises HclFileError, which names line, field and what was expected."""
+    """Read the settings. Raises HclFileError, which names the line, the field and what was expected."""
     file = HclFile(path)
     values = dict(file.values)
     if "tls" in values:
--- a/tidebend/agent/task_process.py
+++ b/tidebend/agent/task_process.py
@@ -1,4 +1,4 @@
-"""The processes of one start of a task."""
+"""The processes of one attempt of a task."""
 
 from __future__ import annotations
 
@@ -9,44 +9,44 @@
 import subprocess
 from dataclasses import dataclass
 
-from tidebend.agent.output import Output
+from tidebend.agent.output import TaskOutput
 from tidebend.agent.processes import TaskLauncher, signal_group
 
 READ_BYTES = 64 * 1024
-# a task that writes without end doesn't keep the others waiting
-MAX_READS_AT_ONCE = 16
+# Limits the reads per event, so that a task that writes without pause doesn't delay the others.
+MAX_READS_PER_EVENT = 16
 EXIT_WAIT_S = 0.1
 
 
 @dataclass(eq=False)
 class TaskProcess:
-    """A task's first process, by which its whole process group is signalled, and what the group writes.
+    """The first process of a task, whose process group receives all signals, and the output of the group.
 
-    Its pipe and its process descriptor are registered with the worker's selector; both are -1 once they are closed.
+    The pipe and the pidfd are registered with the worker's selector; both are -1 once they are closed.
     """
 
-    mark: str  # in the environment of all that descends from it
+    mark: str  # unique value in the environment of the process and its descendants
     launcher: TaskLauncher
-    output: Output
-    output_pipe: int  # where what the task writes comes out
-    descriptor: int  # readable once the first process has exited
+    output: TaskOutput
+    output_pipe: int  # read end of the pipe for the task's output
+    pidfd: int  # becomes readable when the first process exits
 
     @property
     def pid(self) -> int:
-        """The first process's id, which is its group's, too."""
+        """The id of the first process and of its process group."""
         return self.launcher.process.pid
 
     @property
     def exit_status(self) -> int | None:
-        """The first process's exit status, None while it runs."""
+        """The exit status of the first process, None while it runs."""
         return self.launcher.process.poll()
 
     def terminate(self) -> None:
-        """Ask the group to end."""
+        """Send SIGTERM to the process group."""
         signal_group(self.pid, signal.SIGTERM)
 
     def kill(self) -> None:
-        """Kill the group."""
+        """Send SIGKILL to the process group."""
         signal_group(self.pid, signal.SIGKILL)
 
     def wait(self) -> None:
@@ -54,14 +54,14 @@
         self.launcher.process.wait()
 
     def wait_briefly(self) -> int | None:
-        """Return the first process's exit status, None if it doesn't exit within a moment."""
+        """Return the exit status of the first process, None if it doesn't exit within `EXIT_WAIT_S`."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.launcher.process.wait(EXIT_WAIT_S)
         return self.launcher.process.returncode
 
     def copy_output(self, selector: selectors.BaseSelector) -> None:
-        """Keep what the task has written meanwhile."""
-        for _ in range(MAX_READS_AT_ONCE):
+        """Copy pending output from the pipe to the output files."""
+        for _ in range(MAX_READS_PER_EVENT):
             try:
                 data = os.read(self.output_pipe, READ_BYTES)
             except BlockingIOError:
@@ -69,13 +69,13 @@
             if not data:
                 self._close_pipe(selector)
                 return
-            self.output.add(data)
+            self.output.write(data)
 
     def close(self, selector: selectors.BaseSelector) -> None:
-        """Close the descriptors and the output's file."""
-        selector.unregister(self.descriptor)
-        os.close(self.descriptor)
-        self.descriptor = -1
+        """Close the pidfd, the pipe and the output file."""
+        selector.unregister(self.pidfd)
+        os.close(self.pidfd)
+        self.pidfd = -1
         if self.output_pipe >= 0:
             self._close_pipe(selector)
         self.output.close()
--- a/tidebend/agent/tasks.py
+++ b/tidebend/agent/tasks.py
@@ -1,4 +1,4 @@
-"""A task on this machine, as its agent knows it."""
+"""State of a task on this machine."""
 
 from __future__ import annotations
 
@@ -10,78 +10,79 @@
 from tidebend.messages import Description
 from tidebend.protocol.worker import Task as TaskRow
 
-# of the agent's own environment, tasks get only this: what else is in it may be secret, or meant for the agent alone
-INHERITED = ("PATH", "HOME", "USER", "LOGNAME", "SHELL", "LANG", "TZ", "TMPDIR")
+# The only variables of the agent's environment that tasks inherit, beside LC_*; others may be secret or meant for the
+# agent only.
+INHERITED_VARIABLES = ("PATH", "HOME", "USER", "LOGNAME", "SHELL", "LANG", "TZ", "TMPDIR")
 
-# the states of a task, as they are reported
+# States of a task, as reported to the controllers.
 FETCHING, WAITING, RUNNING, SAVING, ENDED = "fetching", "waiting", "running", "saving", "ended"
 
 
 def inherited_environment() -> dict[str, str]:
-    """Return what tasks get of the agent's own environment."""
-    return {key: value for key, value in os.environ.items() if key in INHERITED or key.startswith("LC_")}
+    """Return the part of the agent's environment that tasks inherit."""
+    return {key: value for key, value in os.environ.items() if key in INHERITED_VARIABLES or key.startswith("LC_")}
 
 
 @dataclass(eq=False)
 class Task:
-    """One start of a task."""
+    """One attempt of a task."""
 
     job: str
     index: int
     attempt: int
     state: str = FETCHING
-    why: str | None = None  # of the end, as it is reported
+    cause: str | None = None  # why the attempt has ended, as reported
     saved: bool = False
-    description: Description | None = None  # None until the control service has sent it
-    waiting_since: float = 0.0  # steady time
-    kill_at: float | None = None  # for a stop that is under way: the steady time from which on it is killed
-    prepares_image: bool = False  # makes its job's image ready, for the tasks that wait for it
-    finished: bool = False  # a gang's task that has succeeded and waits for the others; it counts as running until then
-    process: TaskProcess | None = None  # while its processes are there
-    output_directory: Path | None = None  # of its output, once it has begun
+    description: Description | None = None  # None until received from the control service
+    waiting_since: float = 0.0  # monotonic time
+    kill_at: float | None = None  # monotonic time at which a task that is being stopped is killed
+    prepares_image: bool = False  # runs the `prepare` command of its job's image instead of the job's command
+    finished: bool = False  # a gang's task that has succeeded and waits for the others; reported as running until then
+    process: TaskProcess | None = None  # while its processes exist
+    output_directory: Path | None = None  # None until its first process is started
 
     @property
     def name(self) -> str:
-        """The job and the index of the task."""
+        """The job and the index of the task, as JOB/INDEX."""
         return f"{self.job}/{self.index}"
 
     @property
     def is_gang_task(self) -> bool:
-        """Whether it is known to start and end together with others."""
+        """Whether the task is known to belong to a gang."""
         return self.description is not None and self.description.kind == "gang"
 
     @property
     def known_description(self) -> Description:
         """The description of a task that has one."""
-        assert self.description is not None, "the description hasn't come yet"
+        assert self.description is not None, "the description hasn't been received yet"
         return self.description
 
-    def end(self, why: str, saved: bool = False) -> None:
-        """Record how it has ended."""
-        self.state, self.why, self.saved, self.kill_at = ENDED, why, saved, None
+    def end(self, cause: str, saved: bool = False) -> None:
+        """Record the end of the attempt."""
+        self.state, self.cause, self.saved, self.kill_at = ENDED, cause, saved, None
 
-    def row(self) -> TaskRow:
-        """Return what is reported of it."""
-        return TaskRow(self.job, self.index, self.attempt, self.state, self.why, self.saved)
+    def to_report(self) -> TaskRow:
+        """Return the task's entry in a report."""
+        return TaskRow(self.job, self.index, self.attempt, self.state, self.cause, self.saved)
 
     def environment(self, base: dict[str, str], image: str = "") -> dict[str, str]:
-        """Return the environment of its processes; `image` is the directory of its image."""
+        """Return the environment of the task's processes; `image` is the directory of its image."""
         description = self.known_description
-        own = {
+        task_variables = {
             "TIDEBEND_JOB": self.job,
             "TIDEBEND_TASK": str(self.index),
             "TIDEBEND_ATTEMPT": str(self.attempt),
             "TIDEBEND_TASKS": str(description.tasks),
         }
         if description.image:
-            own["TIDEBEND_IMAGE"] = image
+            task_variables["TIDEBEND_IMAGE"] = image
         checkpoint = self.checkpoint_directory
         if checkpoint is not None:
-            own["TIDEBEND_CHECKPOINT"] = str(checkpoint)
-        return {**base, **description.environment, **own}
+            task_variables["TIDEBEND_CHECKPOINT"] = str(checkpoint)
+        return {**base, **description.environment, **task_variables}
 
     @property
     def checkpoint_directory(self) -> Path | None:
-        """Where it saves its checkpoints, None if its job has none."""
+        """The directory for the task's checkpoints, None if its job has none."""
         checkpoints = self.known_description.checkpoints
         return Path(f"{checkpoints}/{self.job}/{self.index}") if checkpoints else None
--- a/tidebend/agent/worker.py
+++ b/tidebend/agent/worker.py
@@ -1,9 +1,9 @@
-"""The agent's state and its rules: session, lease, token and tasks, all of them changed by one thread.
+"""State of the agent: session, lease, fencing token and tasks, all changed by one thread.
 
-Reports, direct commands and what the processes do come to this thread one after the other, so that there is one order
-of events: commands are executed in theirs, and before anything else it is looked whether the lease has run out. An
-agent that stood still (a stopped process, a machine that slept) therefore ends its stale work before it hears of
-anything new, and what was meant for its earlier session finds a later one.
+This thread handles reports, direct commands and process events one after the other, so that all events have one order.
+Commands are executed in the order received. Before each call the thread checks whether the lease has expired. So an
+agent that was paused (a stopped process, a suspended machine) ends its tasks and begins a new session before it handles
+anything new, and commands for the former session are rejected.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from tidebend.agent.clock import steady_time
+from tidebend.agent.clock import monotonic_time
 from tidebend.agent.event_log import EventLog
 from tidebend.agent.image_preparation import ImagePreparer
 from tidebend.agent.images import Images
@@ -38,15 +38,15 @@
 log = logging.getLogger("agent")
 
 READ_BYTES = 64 * 1024
-# a task that is told to stop has this share of a lease before it is killed, unless it saves
-STOP_SHARE = 0.2
-# a task that was to be killed is killed again after so many seconds, should it have been missed
-KILL_AGAIN_S = 1.0
-# the thread wakes this many seconds after what it waits for is due
+# Time from SIGTERM to SIGKILL for a task that doesn't save a checkpoint, as a multiple of the lease.
+STOP_GRACE_LEASES = 0.2
+# Interval at which SIGKILL is sent again while a task's processes remain.
+KILL_RETRY_S = 1.0
+# Added to the time until the next deadline, so that the deadline has passed when the thread wakes.
 WAKE_MARGIN_S = 0.002
-# a new token is reported at once if none was within this share of a lease
-TOKEN_REPORT_SHARE = 0.5
-# the pause between two attempts to begin a session
+# Minimum time between immediate reports of a new token, as a multiple of the lease.
+TOKEN_REPORT_INTERVAL_LEASES = 0.5
+# Pause between attempts to begin a session.
 SESSION_RETRY_S = 0.5
 CALL_TIMEOUT_S = 5.0
 MAX_QUEUED_CALLS = 1024
@@ -55,15 +55,15 @@
 
 
 class StaleCommandError(Exception):
-    """Direct commands with a lower token, or for another session; nothing was executed."""
+    """Direct commands with a lower fencing token or for another session; none was executed."""
 
 
 class SentReport(NamedTuple):
-    """A report as it is sent, with what its answer is judged by."""
+    """A report, with the session and the time by which its answer is checked."""
 
     body: dict[str, Any]
     session: int
-    sent_at: float  # steady time
+    sent_at: float  # monotonic time
 
 
 class GangMember(NamedTuple):
@@ -74,29 +74,29 @@
 
 
 class Worker:
-    """A machine's worker. Everything but `call` and `start` is for its own thread."""
+    """The worker of a machine. All methods but `call` and `start` must run in its own thread."""
 
     def __init__(
         self,
         directory: Path,
         write_ahead_log: WriteAheadLog,
-        terms: JoinResponse,
+        config: JoinResponse,
         address: str,
-        kind: str,
+        machine_type: str,
         fetch_description: Callable[[str], None],
         ask_about_gangs: Callable[[], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Keep everything in `directory`.
+        """Create a worker that stores its data in `directory`.
 
-        `fetch_description` asks the control service for a job's description, `ask_about_gangs` whether gangs may start
-        or are complete; `on_change` has a report sent soon.
+        `fetch_description` requests a job's description from the control service, `ask_about_gangs` requests the
+        status of gangs, and `on_change` requests a report.
         """
         self.directory = directory
         self.outputs = directory / "tasks"
-        self.terms = terms
+        self.config = config
         self.address = address
-        self.kind = kind
+        self.machine_type = machine_type
         self._write_ahead_log = write_ahead_log
         self._fetch_description = fetch_description
         self._ask_about_gangs = ask_about_gangs
@@ -114,7 +114,7 @@
         os.set_blocking(self._wake_read, False)
         os.set_blocking(self._wake_write, False)
         self._selector.register(self._wake_read, selectors.EVENT_READ, None)
-        self._is_ending = False
+        self._is_stopping = False
         self._event_log = EventLog(directory)
         images = Images(directory / "images")
         self._task_runner = TaskRunner(self.outputs, write_ahead_log, self._event_log, images, self._selector)
@@ -122,22 +122,22 @@
 
     # From other threads
 
-    def call(self, work: Callable[[], Result], timeout: float = CALL_TIMEOUT_S) -> Result:
-        """Have something done by the worker's thread; raises what it raises, or TimeoutError.
+    def call(self, function: Callable[[], Result], timeout: float = CALL_TIMEOUT_S) -> Result:
+        """Run a function in the worker's thread and return its result; raises its exception, or TimeoutError.
 
-        After a TimeoutError it may still be done, in its turn: whoever calls next is answered after that.
+        After a TimeoutError the function may still run, but before those of later calls.
         """
-        answer: Future[Result] = Future()
+        result: Future[Result] = Future()
         try:
-            self._calls.put_nowait((work, answer))
+            self._calls.put_nowait((function, result))
         except queue.Full:
-            raise TimeoutError("too much is waiting") from None
+            raise TimeoutError("too many calls are queued for the worker thread") from None
         with contextlib.suppress(BlockingIOError):
             os.write(self._wake_write, b"x")
-        return answer.result(timeout)
+        return result.result(timeout)
 
     def start(self) -> threading.Thread:
-        """Start the thread, which begins a session."""
+        """Start the worker's thread, which begins a session."""
         thread = threading.Thread(target=self.run, name="worker", daemon=True)
         thread.start()
         return thread
@@ -145,15 +145,15 @@
     # The thread
 
     def run(self) -> None:
-        """Be the worker until it is told to end."""
+        """Run the event loop until `stop` or `leave` is called."""
         adopt_orphans()
         self._begin_session()
-        while not self._is_ending:
-            for key, _ in self._selector.select(self._pause_s()):
+        while not self._is_stopping:
+            for key, _ in self._selector.select(self._select_timeout_s()):
                 self._on_readable(key)
             self._check_lease()
             self._kill_overdue()
-            self._do_calls()
+            self._run_queued_calls()
 
     def _on_readable(self, key: selectors.SelectorKey) -> None:
         if key.data is None:
@@ -162,68 +162,70 @@
             return
         event, task = key.data
         process = task.process
-        # guards against an event of a descriptor that was closed, and given to another, a moment ago
+        # The event may belong to a file descriptor that was closed and reused since it occurred.
         if process is None:
             return
-        if event == EXIT and process.descriptor == key.fd:
+        if event == EXIT and process.pidfd == key.fd:
             self._on_exit(task, process)
         elif event == OUTPUT and process.output_pipe == key.fd:
             self._task_runner.copy_output(task)
 
-    def _do_calls(self) -> None:
+    def _run_queued_calls(self) -> None:
         while True:
             try:
-                work, answer = self._calls.get_nowait()
+                function, result = self._calls.get_nowait()
             except queue.Empty:
                 return
-            # guards against commands that waited in a socket while this process stood still
+            # Commands may have waited in a socket while this process was paused and its lease expired.
             self._check_lease()
             try:
-                answer.set_result(work())
+                result.set_result(function())
             except Exception as error:
-                answer.set_exception(error)
-
-    def _pause_s(self) -> float:
-        """Return for how long nothing is due."""
-        due = [self._lease_end]
-        due += [task.kill_at for task in self._tasks.values() if task.kill_at is not None]
-        due += [task.waiting_since + self.terms.gang_wait_s for task in self._tasks.values() if task.state == WAITING]
-        return max(0.0, min(due) - steady_time()) + WAKE_MARGIN_S
+                result.set_exception(error)
+
+    def _select_timeout_s(self) -> float:
+        """Return the seconds until the next deadline."""
+        deadlines = [self._lease_end]
+        deadlines += [task.kill_at for task in self._tasks.values() if task.kill_at is not None]
+        deadlines += [
+            task.waiting_since + self.config.gang_wait_s for task in self._tasks.values() if task.state == WAITING
+        ]
+        return max(0.0, min(deadlines) - monotonic_time()) + WAKE_MARGIN_S
 
     # Sessions and leases
 
     def _begin_session(self) -> None:
-        """Begin a session once nothing of an earlier one is left: neither of ours, nor of an agent before us."""
+        """Begin a session, after all processes of earlier ones have ended, also those of a former agent process."""
         while not kill_recorded_processes(self._write_ahead_log):
-            log.error("processes of an earlier session can't be ended; trying again")
+            log.error("processes of an earlier session can't be killed; trying again")
             time.sleep(SESSION_RETRY_S)
         while not self._record_next_session():
             time.sleep(SESSION_RETRY_S)
         self.session += 1
         fault_point("agent.session-noted")
         self._sequence = 0
-        self._lease_end = steady_time() + self.terms.lease_s
-        self._event_log.add("session", steady_time(), session=self.session, machine=self.terms.machine)
+        self._lease_end = monotonic_time() + self.config.lease_s
+        self._event_log.add("session", monotonic_time(), session=self.session, machine=self.config.machine)
         self._on_change()
 
     def _record_next_session(self) -> bool:
-        """Write the next session's number; a session that isn't on the disk could come twice."""
+        """Store the next session's number first, since a number that isn't durable could be used twice."""
         try:
             self._write_ahead_log.set_facts(session=str(self.session + 1))
         except sqlite3.Error as error:
-            log.error("no later session can be begun: %s", error)
+            log.error("storing the next session's number failed: %s", error)
             return False
         return True
 
     def _check_lease(self) -> None:
-        if steady_time() <= self._lease_end:
+        if monotonic_time() <= self._lease_end:
             return
         if self._tasks:
-            log.warning("the lease has ended: ending %d tasks", len(self._tasks))
-        self._end_everything()
+            log.warning("the lease has expired: ending %d tasks", len(self._tasks))
+        self._end_all_tasks()
         self._begin_session()
 
-    def _end_everything(self) -> None:
+    def _end_all_tasks(self) -> None:
         self._task_runner.end_all()
         self._image_preparer.forget_all()
         self._tasks.clear()
@@ -232,35 +234,38 @@
     # Reports
 
     def report(self) -> SentReport:
-        """Return a report to be sent now."""
-        return SentReport(self._report_body(), self.session, steady_time())
+        """Return a report of the current state."""
+        return SentReport(self._report_body(), self.session, monotonic_time())
 
     def _report_body(self) -> dict[str, Any]:
         self._sequence += 1
         return report(
-            self.terms.machine,
+            self.config.machine,
             self.address,
-            self.kind,
-            self.terms.zone,
+            self.machine_type,
+            self.config.zone,
             False,
             self.session,
             self._sequence,
             self.token,
             None,
-            [task.row() for task in self._tasks.values()],
+            [task.to_report() for task in self._tasks.values()],
         )
 
     def apply_answer(self, answer: ReportAnswer, session: int, sent_at: float) -> bool:
-        """Take over the answer to a report; False if it had to be dropped."""
+        """Renew the lease and execute the commands in the answer to a report; False if the answer is outdated."""
         if session != self.session or answer.token is None or answer.token < self.token:
             return False
         self._learn_token(answer.token)
-        self._lease_end = max(self._lease_end, sent_at + self.terms.lease_s)
+        self._lease_end = max(self._lease_end, sent_at + self.config.lease_s)
         self._execute(answer.commands)
         return True
 
     def execute_direct(self, direct: DirectCommands) -> dict[str, Any]:
-        """Execute direct commands, which don't renew the lease; the body of the answer. Raises StaleCommandError."""
+        """Execute direct commands, which don't renew the lease, and return a report as the answer's body.
+
+        Raises StaleCommandError.
+        """
         if direct.token < self.token or direct.session != self.session:
             raise StaleCommandError
         self._learn_token(direct.token)
@@ -272,10 +277,10 @@
             return
         self._write_ahead_log.set_facts(
             token=str(token)
-        )  # first on the disk: whoever gave a lower one is deposed for good
+        )  # durable first, so that lower tokens stay rejected after a restart
         self.token = token
-        now = steady_time()
-        if now - self._token_reported_at > TOKEN_REPORT_SHARE * self.terms.lease_s:
+        now = monotonic_time()
+        if now - self._token_reported_at > TOKEN_REPORT_INTERVAL_LEASES * self.config.lease_s:
             self._token_reported_at = now
             self._on_change()
 
@@ -289,18 +294,18 @@
                 if task is not None:
                     to_start.append(task)
                 continue
-            if to_start:  # in order: what comes before is under way before what follows it
-                self._begin(to_start)
+            if to_start:  # commands take effect in order, so earlier starts come first
+                self._start_tasks(to_start)
                 to_start = []
-            self._stop_or_clear(command)
+            self._stop_or_forget(command)
         if to_start:
-            self._begin(to_start)
+            self._start_tasks(to_start)
         if commands:
             self._image_preparer.cancel_unwanted(self._tasks.values())
             self._on_change()
 
     def _new_task(self, command: Command) -> Task | None:
-        """Return the task that a start is to begin; None if the start is refused, or a repetition."""
+        """Return the task for a start command; None if the command is refused or repeated."""
         key = (command.job, command.index, command.attempt)
         if key in self._tasks:
             return None
@@ -314,7 +319,7 @@
             return None
         return task
 
-    def _stop_or_clear(self, command: Command) -> None:
+    def _stop_or_forget(self, command: Command) -> None:
         key = (command.job, command.index, command.attempt)
         task = self._tasks.get(key)
         if task is None:
@@ -326,13 +331,13 @@
             self._forget_description(task.job)
 
     def _forget_description(self, job: str) -> None:
-        """Forget a job's description once none of its tasks is left."""
+        """Remove a job's description once none of its tasks is left."""
         if not any(other == job for other, _, _ in self._tasks):
             self._descriptions.pop(job, None)
             self._task_runner.prune_outputs(self._tasks.values())
 
     def apply_description(self, job: str, description: Description | None) -> None:
-        """Take over a job's description; None: the control service knows no such job."""
+        """Store a job's description and start its tasks; None means that the control service doesn't know the job."""
         tasks = [
             task
             for task in self._tasks.values()
@@ -343,30 +348,30 @@
                 task.end("no_such")
         elif tasks:
             self._descriptions[job] = description
-            self._begin(tasks)
+            self._start_tasks(tasks)
         self._on_change()
 
     def jobs_without_description(self) -> list[str]:
-        """Return the jobs whose descriptions are missing."""
+        """Return the jobs whose descriptions have not been received."""
         return sorted(
             {task.job for task in self._tasks.values() if task.state == FETCHING and task.description is None}
         )
 
     # Starts
 
-    def _begin(self, tasks: list[Task]) -> None:
-        """Start tasks as far as their descriptions, their images and this machine's room allow."""
+    def _start_tasks(self, tasks: list[Task]) -> None:
+        """Start the tasks whose description and image are available, if they fit on this machine."""
         to_launch = []
         for task in tasks:
             task.description = self._descriptions.get(task.job)
             if task.description is None:
                 self._fetch_description(task.job)
-            elif not self._has_room(task):
+            elif not self._has_capacity(task):
                 task.end("full")
             elif not self._image_preparer.has_image(task, self._used_images()):
                 self._prepare_image(task)
             elif task.is_gang_task:
-                task.state, task.waiting_since = WAITING, steady_time()
+                task.state, task.waiting_since = WAITING, monotonic_time()
                 self._ask_about_gangs()
             else:
                 to_launch.append(task)
@@ -383,7 +388,7 @@
             self._on_image_prepared(failed)
 
     def _on_image_prepared(self, preparing: Task) -> None:
-        """Start the tasks that wait for an image, or end them if it couldn't be made ready."""
+        """Start the tasks that wait for an image, or end them if its preparation failed."""
         image = preparing.known_description.image
         is_ready = self._image_preparer.finish(preparing)
         waiting = [
@@ -392,7 +397,7 @@
             if task.state == FETCHING and task.description is not None and task.description.image == image
         ]
         if is_ready:
-            self._begin(waiting)
+            self._start_tasks(waiting)
         else:
             for task in waiting:
                 task.end("error")
@@ -401,16 +406,16 @@
     def _used_images(self) -> set[str]:
         return {task.description.image for task in self._tasks.values() if task.description is not None}
 
-    def _has_room(self, task: Task) -> bool:
+    def _has_capacity(self, task: Task) -> bool:
         others = [
             other.description
             for other in self._tasks.values()
             if other is not task and other.state != ENDED and other.description is not None
         ]
         return all(
-            sum(getattr(other, part) for other in others) + getattr(task.known_description, part)
-            <= getattr(self.terms, part) + 1e-6
-            for part in ("cpus", "gpus", "memory_gb")
+            sum(getattr(other, resource) for other in others) + getattr(task.known_description, resource)
+            <= getattr(self.config, resource) + 1e-6
+            for resource in ("cpus", "gpus", "memory_gb")
         )
 
     # Ends
@@ -427,31 +432,31 @@
                 process.kill()
             return
         if process.exit_status is not None:
-            return  # it has ended by itself, and that is what is reported
+            return  # it has exited by itself, and that result is reported
         description = task.known_description
-        saves = description.checkpoint_s > 0 and bool(description.checkpoints) and grace_s >= description.save_s
-        if saves and not task.finished:
+        will_save = description.checkpoint_s > 0 and bool(description.checkpoints) and grace_s >= description.save_s
+        if will_save and not task.finished:
             task.state = SAVING
-        task.kill_at = steady_time() + (grace_s if saves else STOP_SHARE * self.terms.lease_s)
+        task.kill_at = monotonic_time() + (grace_s if will_save else STOP_GRACE_LEASES * self.config.lease_s)
         process.terminate()
 
     def _kill_overdue(self) -> None:
-        now = steady_time()
+        now = monotonic_time()
         for task in list(self._tasks.values()):
             if task.kill_at is not None and now >= task.kill_at and task.process is not None:
                 task.process.kill()
-                task.kill_at = now + KILL_AGAIN_S
-            elif task.state == WAITING and now >= task.waiting_since + self.terms.gang_wait_s:
+                task.kill_at = now + KILL_RETRY_S
+            elif task.state == WAITING and now >= task.waiting_since + self.config.gang_wait_s:
                 task.end("incomplete")
                 self._on_change()
 
     def _on_exit(self, task: Task, process: TaskProcess) -> None:
-        """Handle the exit of a task's first process; the task has ended when all that descends from it is gone."""
+        """Handle the exit of a task's first process; the task has ended once all its descendants have been killed."""
         status = process.wait_briefly()
         if status is None:
             return
         process.kill()
-        self._task_runner.clean_up(task, process)
+        self._task_runner.clean_up_task(task, process)
         if task.prepares_image:
             task.end("done" if status == 0 and task.kill_at is None else "error")
             self._on_image_prepared(task)
@@ -463,13 +468,13 @@
 
     @staticmethod
     def _record_end(task: Task, status: int) -> None:
-        """Record what the exit of a task's first process means for the task."""
-        if task.why == "mates_gone":
+        """Set the task's result by the exit status of its first process."""
+        if task.cause == "mates_gone":
             task.end("mates_gone")
         elif task.state == SAVING:
             task.end("stopped", saved=status == 0)
         elif task.kill_at is not None:
-            # told to stop: whatever it says now, nobody knows whether it was through, and it is run again
+            # Whatever its exit status, a stopped task may not have completed its work, so it is run again.
             task.end("stopped")
         elif status != 0:
             task.end("error")
@@ -481,20 +486,20 @@
     # Gangs
 
     def gang_members(self) -> list[GangMember]:
-        """Return the gangs' tasks here; those that have succeeded are among them until they are cleared."""
+        """Return the gangs' tasks on this machine, including those that have succeeded, until they are forgotten."""
         return [
             GangMember(task, _gang_phase(task))
             for task in self._tasks.values()
-            # guards against a gang that starts while one of its tasks has no image yet
+            # A task whose image isn't ready is left out, so that its gang doesn't start yet.
             if task.is_gang_task and task.state != FETCHING
         ]
 
     def apply_gang_verdict(self, task: Task, answer: GangVerdict) -> None:
-        """Take over what the control service says of a gang's task."""
+        """Apply the control service's verdict on a gang's task."""
         if self._tasks.get((task.job, task.index, task.attempt)) is not task:
             return
         if task.kill_at is not None:
-            return  # it is being stopped, and may be saving: that comes to its own end
+            return  # it is being stopped, and may still save a checkpoint
         if answer.verdict == "start" and task.state == WAITING:
             self._launch([task])
         elif answer.verdict == "done" and task.finished and task.state != ENDED:
@@ -502,30 +507,30 @@
             self._on_change()
         elif answer.verdict == "mates_gone" and task.state != ENDED:
             if task.process is not None:
-                task.why = "mates_gone"
+                task.cause = "mates_gone"
                 task.process.kill()
             elif task.state != WAITING:
                 task.end("mates_gone")
                 self._on_change()
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """End all tasks; what isn't reported is found out by the next session."""
-        self._end_everything()
-        self._is_ending = True
+        """End all tasks and the thread; controllers learn from the next session that unreported tasks have ended."""
+        self._end_all_tasks()
+        self._is_stopping = True
 
     def leave(self) -> None:
-        """Give up being this machine: all tasks are ended for good before this returns."""
-        self._end_everything()
-        # whoever asked may not hear of it; the agent's next machine tells it again
-        self._write_ahead_log.set_facts(machine="", nonce="", left=self.terms.machine)
-        self._is_ending = True
+        """Leave the cluster; all tasks have ended when this returns."""
+        self._end_all_tasks()
+        # The answer may get lost, so the agent names the machine that it left when it joins again.
+        self._write_ahead_log.set_facts(machine="", nonce="", left=self.config.machine)
+        self._is_stopping = True
 
 
 def _gang_phase(task: Task) -> GangPhase:
     if task.state == ENDED:
-        return "finished" if task.why == "done" else "lost"
+        return "finished" if task.cause == "done" else "lost"
     if task.finished:
         return "finished"
     if task.state == WAITING:
--- a/tidebend/agent/write_ahead_log.py
+++ b/tidebend/agent/write_ahead_log.py
@@ -1,7 +1,7 @@
-"""What must outlast a crash of the agent: its name, session, highest token, and the processes it has begun.
+"""Durable state of the agent: its machine name, session, highest fencing token, and the processes it has started.
 
-A process is written down before it starts, so that an agent that returns knows its own: it ends them and only then
-begins a later session. The same file tells the local provider what to end when the agent is gone for good.
+A process is recorded before it starts, so that a restarted agent can kill the processes of its predecessor before it
+begins a new session. The local provider uses the same file to kill the processes of an agent that it removes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 log = logging.getLogger("agent")
 
 FILE = "diary.db"
-VERSION = 1
+SCHEMA_VERSION = 1
 
 TABLES = """
 CREATE TABLE facts (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
@@ -25,80 +25,88 @@
 
 
 class WriteAheadLogError(Exception):
-    """The file can't be used; nothing in it was changed."""
+    """The file can't be used; it was not changed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartedProcess:
-    """A process group that may be there. `pid` is None until it is known; before that it has not been let go on."""
+    """A process group that may exist; `pid` is None until it is known, and the task's command isn't executed before."""
 
-    mark: str  # in the environment of all that descends from it
+    mark: str  # unique value in the environment of the process and its descendants
     task: str
     pid: int | None = None
-    start_ticks: int | None = None  # ticks since the machine booted
+    start_ticks: int | None = None  # clock ticks since boot
     boot: str | None = None
 
 
 class WriteAheadLog:
-    """For one thread. Each change is on the disk when its call returns."""
+    """Write-ahead log, for one thread. Each change is durable when its call returns, but see `record_ends`."""
 
     def __init__(self, directory: Path) -> None:
-        """Raises WriteAheadLogError."""
+        """Open or create the file in `directory`. Raises WriteAheadLogError."""
         directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         path = directory / FILE
-        self._left: list[str] = []  # ended, but not struck out yet
+        self._ended_marks: list[str] = []  # ended, but not yet deleted from the table
         try:
             self._connection = sqlite3.connect(path, isolation_level=None, check_same_thread=False, timeout=5.0)
             version = self._connection.execute("PRAGMA user_version").fetchone()[0]
-            if version > VERSION:
-                raise WriteAheadLogError(f"{path}: written by a newer tidebend (its version is {version})")
+            if version > SCHEMA_VERSION:
+                raise WriteAheadLogError(f"{path}: written by a newer release of tidebend (schema version {version})")
             self._connection.execute("PRAGMA journal_mode = WAL")
             self._connection.execute("PRAGMA synchronous = FULL")
             if version == 0:
-                self._connection.executescript(f"BEGIN IMMEDIATE; {TABLES} PRAGMA user_version = {VERSION}; COMMIT;")
+                self._connection.executescript(
+                    f"BEGIN IMMEDIATE; {TABLES} PRAGMA user_version = {SCHEMA_VERSION}; COMMIT;"
+                )
         except sqlite3.Error as error:
             raise WriteAheadLogError(f"{path}: {error}") from error
 
     def get_fact(self, name: str, default: str = "") -> str:
-        """Return a fact that was noted, or the default."""
+        """Return the value stored under a name, or the default."""
         row = self._connection.execute("SELECT value FROM facts WHERE name = ?", (name,)).fetchone()
         return row[0] if row else default
 
     def set_facts(self, **facts: str) -> None:
-        """Write facts, each in the place of the one of the same name."""
-        with self._whole():
+        """Store values by name, replacing former ones."""
+        with self._transaction():
             self._connection.executemany("INSERT OR REPLACE INTO facts VALUES (?, ?)", facts.items())
 
-    def record_starts(self, rows: list[StartedProcess]) -> None:
-        """Write down processes that are about to begin."""
-        with self._whole():
+    def record_starts(self, processes: list[StartedProcess]) -> None:
+        """Record processes that are about to start."""
+        with self._transaction():
             self._connection.executemany(
-                "INSERT INTO begun (mark, task) VALUES (?, ?)", [(row.mark, row.task) for row in rows]
+                "INSERT INTO begun (mark, task) VALUES (?, ?)", [(process.mark, process.task) for process in processes]
             )
 
-    def record_pids(self, rows: list[StartedProcess]) -> None:
-        """Write down the ids of processes that have begun."""
-        with self._whole():
+    def record_pids(self, processes: list[StartedProcess]) -> None:
+        """Record the process ids of started processes."""
+        with self._transaction():
             self._connection.executemany(
                 "UPDATE begun SET pid = ?, started = ?, boot = ? WHERE mark = ?",
-                [(row.pid, row.start_ticks, row.boot, row.mark) for row in rows],
+                [(process.pid, process.start_ticks, process.boot, process.mark) for process in processes],
             )
 
     def record_ends(self, marks: list[str]) -> None:
-        """On a full disk they stay for the next call: looking once more for what is gone costs little."""
-        self._left += marks
-        if not self._left:
+        """Delete the records of processes that have ended.
+
+        If that fails, as on a full disk, the next call tries again; a stale record only costs another search for its
+        processes.
+        """
+        self._ended_marks += marks
+        if not self._ended_marks:
             return
         try:
-            with self._whole():
-                self._connection.executemany("DELETE FROM begun WHERE mark = ?", [(mark,) for mark in self._left])
+            with self._transaction():
+                self._connection.executemany(
+                    "DELETE FROM begun WHERE mark = ?", [(mark,) for mark in self._ended_marks]
+                )
         except sqlite3.Error as error:
-            log.error("%s", error)
+            log.error("deleting records of ended processes failed: %s", error)
             return
-        self._left.clear()
+        self._ended_marks.clear()
 
     def recorded_processes(self) -> list[StartedProcess]:
-        """Return the processes that may be there."""
+        """Return the recorded processes, which may still run."""
         return [
             StartedProcess(*row) for row in self._connection.execute("SELECT mark, task, pid, started, boot FROM begun")
         ]
@@ -108,8 +116,8 @@
         self._connection.close()
 
     @contextlib.contextmanager
-    def _whole(self) -> Iterator[None]:
-        """One transaction: on the disk as a whole, or not at all."""
+    def _transaction(self) -> Iterator[None]:
+        """Run the block in one transaction."""
         self._connection.execute("BEGIN IMMEDIATE")
         try:
             yield
