--- a/tidebend/access/addresses.py
+++ b/tidebend/access/addresses.py
@@ -29,11 +29,11 @@
         if address.version != 4:
             raise ValueError(f"{text}: only IPv4 addresses are supported")
         if address.is_unspecified:
-            raise ValueError(f"{text}: give one address of this machine, since peers connect to the address given here")
+            raise ValueError(f"{text}: name one address of this machine, since peers connect to the address given here")
         loopback = address.is_loopback
     if not loopback and not tls:
         raise NotLoopbackError(
-            f"{text}: addresses beyond loopback can't be used without TLS, since the key would be sent in clear text; "
+            f"{text}: beyond loopback the key would be sent in clear text without TLS; "
             "use an address in 127.0.0.0/8, or add a tls block (`tidebend certs make`)"
         )
     return host, port
