--- a/tests/test_provider.py
+++ b/tests/test_provider.py
@@ -1,4 +1,4 @@
-"""The local provider: what is rented, what may be called gone, and what a restart knows of it."""
+"""The local provider: rentals, proof that a released machine is gone, and what a restart reads back."""
 
 import subprocess
 import sys
@@ -14,30 +14,30 @@
 from tidebend.transport import UnreachableError
 
 
-class Processes:
-    """Stands in for processes of agents."""
+class FakeAgentProcesses:
+    """A test double of AgentProcesses."""
 
     def __init__(self):
-        self.up, self.ended, self.stubborn = [], [], set()
+        self.started, self.killed, self.unkillable = [], [], set()
 
-    def keep_up(self, name, kind, nonce):
-        self.up.append(name)
+    def ensure_running(self, name, kind, nonce):
+        self.started.append(name)
 
     def kill(self, name):
-        self.ended.append(name)
-        return name not in self.stubborn
+        self.killed.append(name)
+        return name not in self.unkillable
 
 
-class Far:
-    """Stands in for an agent elsewhere that is told to leave."""
+class FakeRemoteAgent:
+    """A test double of the client of an agent elsewhere, which is asked to leave."""
 
     def __init__(self):
-        self.answer = 200
+        self.status = 200
 
     def request(self, method, path, body=None, timeout=2.0):
-        if self.answer is None:
+        if self.status is None:
             raise UnreachableError("cut off")
-        return self.answer, {}
+        return self.status, {}
 
 
 @pytest.fixture
@@ -54,9 +54,14 @@
 }
 
 
-def provider(engine, processes=None, far=None):
+def make_provider(engine, processes=None, remote_agent=None):
     return Provider(
-        engine, "here", KINDS, processes or Processes(), lambda address: far or Far(), lambda name: ("127.0.0.1", 1)
+        engine,
+        "here",
+        KINDS,
+        processes or FakeAgentProcesses(),
+        lambda address: remote_agent or FakeRemoteAgent(),
+        lambda name: ("127.0.0.1", 1),
     )
 
 
@@ -69,79 +74,79 @@
 
 
 def test_a_charter_rents_once_and_no_more_than_there_may_be(engine):
-    one = provider(engine)
-    first = one.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2))
+    local = make_provider(engine)
+    first = local.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2))
     assert first == (200, {"fleet": ["vm-000001", "vm-000002"]})
-    assert one.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2)) == first
-    assert one.request("POST", "/machines", rental_request("c-2", "some", "here", False, 5)) == (
+    assert local.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2)) == first
+    assert local.request("POST", "/machines", rental_request("c-2", "some", "here", False, 5)) == (
         200,
         {"fleet": ["vm-000003"]},
     )
     for again in (rental_request("c-3", "some", "here", False, 1), rental_request("c-4", "kept", "here", True, 1)):
-        assert one.request("POST", "/machines", again) == (503, {"error": "no capacity"})
-    assert one.request("POST", "/machines", rental_request("c-5", "none", "here", False, 1))[0] == 400
-    # a restart knows both
-    again = provider(engine)
+        assert local.request("POST", "/machines", again) == (503, {"error": "no capacity"})
+    assert local.request("POST", "/machines", rental_request("c-5", "none", "here", False, 1))[0] == 400
+    # both survive a restart
+    again = make_provider(engine)
     assert again.request("POST", "/machines", rental_request("c-1", "some", "here", False, 2)) == first
     assert set(listed(again)) == {"vm-000001", "vm-000002", "vm-000003"}
 
 
 def test_those_that_are_kept_are_kept_and_names_never_come_back(engine):
-    processes = Processes()
-    one = provider(engine, processes)
-    one.tend_once()
-    assert processes.up == ["vm-000001", "vm-000002"]
-    assert set(listed(one).values()) == {"starting"}
-    assert release(one, "vm-000001") == (200, {})
-    assert processes.ended == ["vm-000001"]
-    assert set(listed(one)) == {"vm-000002"}
-    one.tend_once()
-    assert set(listed(one)) == {"vm-000002", "vm-000003"}
-    assert release(one, "vm-000001", "vm-999999") == (200, {})  # gone, and never heard of
+    processes = FakeAgentProcesses()
+    local = make_provider(engine, processes)
+    local.reconcile_once()
+    assert processes.started == ["vm-000001", "vm-000002"]
+    assert set(listed(local).values()) == {"starting"}
+    assert release(local, "vm-000001") == (200, {})
+    assert processes.killed == ["vm-000001"]
+    assert set(listed(local)) == {"vm-000002"}
+    local.reconcile_once()
+    assert set(listed(local)) == {"vm-000002", "vm-000003"}
+    assert release(local, "vm-000001", "vm-999999") == (200, {})  # one is gone, the other has never existed
 
 
 def test_only_what_is_certainly_gone_is_called_so(engine):
-    processes, far = Processes(), Far()
-    one = provider(engine, processes, far)
-    one.tend_once()
-    name = one.join("n1", "far", "garage", [])
-    processes.stubborn, far.answer = {"vm-000001"}, None
-    status, body = release(one, "vm-000001", "vm-000002", name)
+    processes, remote_agent = FakeAgentProcesses(), FakeRemoteAgent()
+    local = make_provider(engine, processes, remote_agent)
+    local.reconcile_once()
+    name = local.join("n1", "far", "garage", [])
+    processes.unkillable, remote_agent.status = {"vm-000001"}, None
+    status, body = release(local, "vm-000001", "vm-000002", name)
     assert (status, body["fleet"]) == (409, ["vm-000002"])
-    assert set(listed(one)) == {"vm-000001", name}
-    far.answer = 409  # it says that it is another machine by now: no proof either
-    assert release(one, name)[0] == 409
-    far.answer = 200
-    assert release(one, name) == (200, {})
-    assert name not in listed(one)
+    assert set(listed(local)) == {"vm-000001", name}
+    remote_agent.status = 409  # the agent answers that it is another machine by now, which proves nothing either
+    assert release(local, name)[0] == 409
+    remote_agent.status = 200
+    assert release(local, name) == (200, {})
+    assert name not in listed(local)
 
 
 def test_an_agent_that_joins_again_is_the_machine_that_it_was(engine):
-    one = provider(engine)
-    name = one.join("n1", "far", "garage", [])
-    assert one.join("n1", "far", "garage", []) == name
-    assert provider(engine).join("n1", "far", "garage", []) == name
+    local = make_provider(engine)
+    name = local.join("n1", "far", "garage", [])
+    assert local.join("n1", "far", "garage", []) == name
+    assert make_provider(engine).join("n1", "far", "garage", []) == name
     with pytest.raises(JoinRefusedError, match="is of type far"):
-        one.join("n1", "some", "garage", [])
+        local.join("n1", "some", "garage", [])
     with pytest.raises(JoinRefusedError, match="none of kept, some, far"):
-        one.join("n2", "huge", "garage", [])
-    # it left, nobody heard its answer, and it comes as another: the one before is gone by its own word
-    other = one.join("n3", "far", "garage", [name])
-    assert set(listed(one)) == {other}
+        local.join("n2", "huge", "garage", [])
+    # the agent left but its answer was lost; it joins as another machine and reports that it left the previous one
+    other = local.join("n3", "far", "garage", [name])
+    assert set(listed(local)) == {other}
     with pytest.raises(MachineGoneError):
-        one.join("n1", "far", "garage", [])
-    assert one.forget(other)
-    assert not one.forget(other)
-    assert listed(one) == {}
+        local.join("n1", "far", "garage", [])
+    assert local.forget(other)
+    assert not local.forget(other)
+    assert listed(local) == {}
 
 
 def test_an_agent_is_ended_with_all_that_its_diary_names(tmp_path):
     processes = AgentProcesses(tmp_path, "127.0.0.1:1", tmp_path / "keys", 0.0, None)
     task = subprocess.Popen(["sleep", "71"], env={MARK_VARIABLE: "m1", "PATH": "/bin:/usr/bin"}, start_new_session=True)
-    stray = subprocess.Popen(
+    unidentified = subprocess.Popen(
         ["sleep", "72"], env={MARK_VARIABLE: "m2", "PATH": "/bin:/usr/bin"}, start_new_session=True
     )
-    holder = subprocess.Popen(
+    agent = subprocess.Popen(
         [
             sys.executable,
             "-c",
@@ -158,23 +163,23 @@
         stdout=subprocess.PIPE,
     )
     try:
-        holder.stdout.readline()
+        agent.stdout.readline()
         write_ahead_log = WriteAheadLog(tmp_path / "vm-1")
         rows = [
             StartedProcess("m1", "t/0", task.pid, read_process_info(task.pid).start_ticks, boot_id()),
             StartedProcess("m2", "t/1"),
         ]
         write_ahead_log.record_starts(rows)
-        write_ahead_log.record_pids(rows[:1])  # of the other it was killed before it knew
+        write_ahead_log.record_pids(rows[:1])  # the agent was killed before it recorded the other pid
         write_ahead_log.close()
         time.sleep(0.1)
         assert processes.kill("vm-1")
-        assert [each.wait(5.0) for each in (task, stray, holder)] == [-9, -9, -9]
+        assert [process.wait(5.0) for process in (task, unidentified, agent)] == [-9, -9, -9]
         write_ahead_log = WriteAheadLog(tmp_path / "vm-1")
         assert write_ahead_log.recorded_processes() == []
         assert write_ahead_log.get_fact("gone") == "1"
         write_ahead_log.close()
     finally:
-        for each in (task, stray, holder):
-            each.kill()
-            each.wait()
+        for process in (task, unidentified, agent):
+            process.kill()
+            process.wait()
--- a/tidebend/provider/__init__.py
+++ b/tidebend/provider/__init__.py
@@ -1,4 +1,4 @@
-"""The local provider: the cloud's interface over agents that are started here or have joined by themselves."""
+"""The local provider: implements the cloud API on agents that it starts on this machine or that join from elsewhere."""
 
 from tidebend.provider.agents import AgentProcesses
 from tidebend.provider.local import JoinRefusedError, Machine, MachineGoneError, MachineTypeSettings, Provider
--- a/tidebend/provider/agents.py
+++ b/tidebend/provider/agents.py
@@ -1,4 +1,4 @@
-"""Agents as processes of this machine: how they are started, found again, and ended with all that they ran."""
+"""Agent processes on this machine: starting them, finding them after a restart, and killing them with their tasks."""
 
 from __future__ import annotations
 
@@ -23,21 +23,22 @@
 
 log = logging.getLogger("provider")
 
-MOST_LOG_BYTES = 1024 * 1024
-# an agent that ends at once again and again is started at growing intervals, up to this one
-LONGEST_PAUSE_S = 30.0
-SETTLED_S = 20.0
+MAX_LOG_BYTES = 1024 * 1024
+# upper bound of the exponential backoff between restarts of an agent that keeps exiting
+MAX_RESTART_BACKOFF_S = 30.0
+# an agent that ran for longer than this is restarted with the initial backoff
+STABLE_AFTER_S = 20.0
 
 
 @dataclass
-class _Started:
+class _AgentProcess:
     process: subprocess.Popen
-    at: float
-    pause: float
+    started_at: float
+    backoff_s: float
 
 
 class AgentProcesses:
-    """Whether an agent is there is told by the lock on its directory, which the kernel frees when it ends."""
+    """Starts and kills agents. An agent runs while its directory is locked; the kernel frees the lock at its exit."""
 
     def __init__(self, root: Path, control: str, key_file: Path, alone_leases: float, tls: Tls | None) -> None:
         self._root = root
@@ -46,43 +47,43 @@
         self._alone_leases = alone_leases
         self._tls = tls
         self._lock = threading.Lock()
-        self._started: dict[str, _Started] = {}
-        self._ending: set[str] = set()
+        self._processes: dict[str, _AgentProcess] = {}
+        self._killing: set[str] = set()
 
     def directory(self, name: str) -> Path:
         """Return the directory of a machine's agent."""
         return self._root / name
 
-    def keep_up(self, name: str, kind: str, nonce: str) -> None:
-        """Start it unless it is there."""
+    def ensure_running(self, name: str, kind: str, nonce: str) -> None:
+        """Start a machine's agent unless it is running or its restart backoff hasn't passed."""
         now = time.monotonic()
         with self._lock:
-            started = self._started.get(name)
-            if name in self._ending:
-                return  # guards against starting again what is just being ended
+            started = self._processes.get(name)
+            if name in self._killing:
+                return  # it is being killed and must not be restarted
         if started is not None:
             if started.process.poll() is None:
                 return
-            if now - started.at > SETTLED_S:
-                started.pause = 0.5
-            if now - started.at < started.pause:
+            if now - started.started_at > STABLE_AFTER_S:
+                started.backoff_s = 0.5
+            if now - started.started_at < started.backoff_s:
                 return
-            log.warning("agent %s has ended (%s): starting it again", name, started.process.returncode)
-        elif not self._free(name):
-            return  # one that was started before us goes on
-        pause = min(LONGEST_PAUSE_S, 2.0 * started.pause) if started else 0.5
-        process = self._start(name, kind, nonce)
+            log.warning("agent %s exited with status %s; restarting it", name, started.process.returncode)
+        elif not self._is_unlocked(name):
+            return  # an agent that an earlier control service started is still running
+        backoff_s = min(MAX_RESTART_BACKOFF_S, 2.0 * started.backoff_s) if started else 0.5
+        process = self._spawn(name, kind, nonce)
         with self._lock:
-            self._started[name] = _Started(process, now, pause)
+            self._processes[name] = _AgentProcess(process, now, backoff_s)
 
-    def _free(self, name: str) -> bool:
+    def _is_unlocked(self, name: str) -> bool:
         try:
             DirectoryLock(self.directory(name)).release()
         except DirectoryLockedError:
             return False
         return True
 
-    def _start(self, name: str, kind: str, nonce: str) -> subprocess.Popen:
+    def _spawn(self, name: str, kind: str, nonce: str) -> subprocess.Popen:
         directory = self.directory(name)
         directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         write_ahead_log = WriteAheadLog(directory)
@@ -99,21 +100,21 @@
             "alone_leases": self._alone_leases,
         }
         text = "".join(f"{key} = {json.dumps(value)}\n" for key, value in rows.items())
-        if self._tls is not None:  # the same as ours, since it is on the same machine
+        if self._tls is not None:  # the agent uses the control service's files, since it runs on the same machine
             rows = {key: str(Path(value).absolute()) for key, value in msgspec.structs.asdict(self._tls).items()}
             text += "tls {\n" + "".join(f"  {key} = {json.dumps(value)}\n" for key, value in rows.items()) + "}\n"
         settings.write_text(text.replace("${", "$${").replace("%{", "%%{"))
-        place = directory / "agent.log"
-        if place.exists() and place.stat().st_size > MOST_LOG_BYTES:
-            place.replace(directory / "agent.log.1")
+        log_path = directory / "agent.log"
+        if log_path.exists() and log_path.stat().st_size > MAX_LOG_BYTES:
+            log_path.replace(directory / "agent.log.1")
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(part for part in sys.path if part)}
         fault = environment.pop("TIDEBEND_AGENT_FAULT", "")
-        environment.pop("TIDEBEND_FAULT", None)  # a fault of ours is none of the agent's
+        environment.pop("TIDEBEND_FAULT", None)  # faults of the control service aren't meant for the agent
         if fault:
             environment["TIDEBEND_FAULT"] = fault
-            del os.environ["TIDEBEND_AGENT_FAULT"]  # for one agent, once
-        with open(place, "ab") as out:
-            # in a session of its own: it outlives us, and Ctrl-C at our terminal is ours alone
+            del os.environ["TIDEBEND_AGENT_FAULT"]  # injected into one agent only, once
+        with open(log_path, "ab") as out:
+            # a session of its own: the agent outlives the control service and gets no SIGINT from its terminal
             return subprocess.Popen(
                 [sys.executable, "-m", "tidebend", "agent", "--config", str(settings)],
                 stdin=subprocess.DEVNULL,
@@ -124,14 +125,14 @@
             )
 
     def kill(self, name: str, timeout: float = 10.0) -> bool:
-        """End it and all that it ran; True once that is certain, and it won't come back."""
+        """Kill a machine's agent and its tasks for good. Return whether all of them are certainly dead."""
         with self._lock:
-            self._ending.add(name)
+            self._killing.add(name)
         try:
             return self._kill(name, timeout)
         finally:
             with self._lock:
-                self._ending.discard(name)
+                self._killing.discard(name)
 
     def _kill(self, name: str, timeout: float) -> bool:
         deadline = time.monotonic() + timeout
@@ -147,9 +148,9 @@
         try:
             write_ahead_log = WriteAheadLog(self.directory(name))
             try:
-                # one that was started but hasn't got as far as its lock finds this and ends
+                # an agent that has started but doesn't hold its lock yet reads this and exits
                 write_ahead_log.set_facts(gone="1")
-                gone = kill_recorded_processes(write_ahead_log, timeout)
+                killed = kill_recorded_processes(write_ahead_log, timeout)
             finally:
                 write_ahead_log.close()
         except WriteAheadLogError as error:
@@ -158,36 +159,36 @@
         finally:
             lock.release()
         with self._lock:
-            started = self._started.pop(name, None)
+            started = self._processes.pop(name, None)
         if started is not None:
             started.process.wait(5.0)
-        return gone
+        return killed
 
-    def _signal(self, name: str, number: int) -> None:
-        """To the agent's process, whether we started it or one before us did."""
+    def _signal(self, name: str, signal_number: int) -> None:
+        """Send a signal to an agent, whether this control service or an earlier one started it."""
         with self._lock:
-            started = self._started.get(name)
+            started = self._processes.get(name)
         if started is not None and started.process.poll() is None:
-            started.process.send_signal(number)
+            started.process.send_signal(signal_number)
             return
         write_ahead_log = WriteAheadLog(self.directory(name))
-        pid, since, boot = (
+        pid, start_ticks, boot = (
             write_ahead_log.get_fact("pid"),
             write_ahead_log.get_fact("started"),
             write_ahead_log.get_fact("boot"),
         )
         write_ahead_log.close()
-        if pid and is_running(StartedProcess("", "agent", int(pid), int(since), boot)):
-            os.kill(int(pid), number)
+        if pid and is_running(StartedProcess("", "agent", int(pid), int(start_ticks), boot)):
+            os.kill(int(pid), signal_number)
 
-    def end_in_order(self, names: list[str], timeout: float = 10.0) -> None:
-        """Tell agents to end; they end their tasks first. They come back, as the same machines, when started again."""
+    def stop_all(self, names: list[str], timeout: float = 10.0) -> None:
+        """Stop agents, which end their tasks first. They keep their machines when they are started again."""
         for name in names:
             self._signal(name, signal.SIGTERM)
         deadline = time.monotonic() + timeout
         for name in names:
-            while not self._free(name):
+            while not self._is_unlocked(name):
                 if time.monotonic() > deadline:
-                    log.error("agent %s doesn't end", name)
+                    log.error("agent %s hasn't exited before the timeout", name)
                     break
                 time.sleep(0.02)
