--- a/tidebend/client/__init__.py
+++ b/tidebend/client/__init__.py
@@ -1,4 +1,4 @@
-"""What people and scripts use: commands that talk to a control service."""
+"""The command-line client, which talks to a control service."""
 
 from tidebend.client.commands import main
 
--- a/tidebend/client/api_client.py
+++ b/tidebend/client/api_client.py
@@ -1,4 +1,4 @@
-"""Calls to the control service, each repeated while the answer is that it can't be known yet."""
+"""A client of the control service's API that retries requests without an answer or with a temporary error."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from tidebend.client.jobfile import JobSubmission
 from tidebend.control.main import ADDRESS_FILE, KEYS_FILE
 from tidebend.messages import paths
-from tidebend.protocol import user as words
+from tidebend.protocol import user as user_protocol
 from tidebend.transport import NoAnswerError, UnreachableError
 
-# how long a request is repeated before it is given up
-PATIENCE_S = 10.0
-ANSWER_S = 10.0
+# how long a request is retried
+RETRY_FOR_S = 10.0
+# timeout of each try
+REQUEST_TIMEOUT_S = 10.0
 
 
 class ControlServiceUnreachableError(Exception):
@@ -26,7 +27,7 @@
 
 
 class RequestRejectedError(Exception):
-    """The control service refuses; the text is its reason."""
+    """The control service rejected the request; the text is its reason."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -34,12 +35,12 @@
 
 
 def data_directory(given: str | None) -> Path:
-    """Return the control service's directory: the one given, else that of the environment, else the default."""
+    """Return the control service's data directory: `given`, else $TIDEBEND_DATA, else ~/.tidebend."""
     return Path(given or os.environ.get("TIDEBEND_DATA") or Path.home() / ".tidebend")
 
 
 class ApiClient:
-    """A client of the control service's API; requests without an answer are repeated for a while."""
+    """A client of the control service's API. Requests are retried for `retry_for_s` seconds."""
 
     def __init__(
         self,
@@ -47,77 +48,83 @@
         control: str | None = None,
         key_file: str | None = None,
         authority: str | None = None,
-        retry_for_s: float = PATIENCE_S,
+        retry_for_s: float = RETRY_FOR_S,
     ) -> None:
-        """Raises ControlServiceUnreachableError, NotLoopback, BadKeys or BadCertificate."""
+        """Raises ControlServiceUnreachableError, NotLoopbackError, KeyFileError or CertificateError."""
         if control is None:
             try:
-                control, *trusted = (directory / ADDRESS_FILE).read_text().split()
+                control, *authorities = (directory / ADDRESS_FILE).read_text().split()
             except OSError as error:
                 raise ControlServiceUnreachableError(
-                    f"{directory / ADDRESS_FILE}: {error.strerror}: nothing was started there; `tidebend up` does"
+                    f"{directory / ADDRESS_FILE}: {error.strerror}: no control service here; `tidebend up` starts one"
                 ) from error
-            authority = authority or (trusted[0] if trusted else None)
+            authority = authority or (authorities[0] if authorities else None)
         try:
             address = parse_listen_address(control, authority is not None)
         except ValueError as error:
             raise ControlServiceUnreachableError(str(error)) from error
         self.address = control
-        self._patience_s = retry_for_s
+        self._retry_for_s = retry_for_s
         ring = Keyring(Path(key_file) if key_file else directory / KEYS_FILE)
         self._client = KeyedClient(address, ring.bearer_token, tls=client_ssl_context(authority) if authority else None)
 
     def call(self, method: str, path: str, body: Any = None) -> Any:
-        """The body of a 200 or 201. Raises ControlServiceUnreachableError or NotTaken."""
-        deadline = time.monotonic() + self._patience_s
+        """Return the body of a 200 or 201. Raises ControlServiceUnreachableError or RequestRejectedError."""
+        deadline = time.monotonic() + self._retry_for_s
         while True:
             try:
-                status, answer = self._client.request(method, path, body, ANSWER_S)
+                status, answer = self._client.request(method, path, body, REQUEST_TIMEOUT_S)
                 text = answer.get("error", "") if isinstance(answer, dict) else ""
                 if status in (200, 201):
                     return answer
                 if status not in (429, 503, 504):
-                    raise RequestRejectedError(status, text or f"answered with {status}")
+                    raise RequestRejectedError(
+                        status, text or f"the control service answered with HTTP status {status}"
+                    )
             except (UnreachableError, NoAnswerError) as error:
                 text = str(error)
             if time.monotonic() > deadline:
                 raise ControlServiceUnreachableError(f"{self.address}: {text}")
             time.sleep(0.25)
 
-    def submit(self, ready: JobSubmission) -> str:
-        """Describe and submit; repeating it is harmless, since the id stays. The job's state."""
-        self.call("POST", f"{paths.DESCRIPTIONS}/{ready.job}", msgspec.to_builtins(ready.description))
-        return words.job_state(
-            self.call("POST", words.PATH_JOBS, words.job_request(ready.job, ready.spec, ready.awaits))
+    def submit(self, submission: JobSubmission) -> str:
+        """Store a job's description, submit it and return its state. The job id makes this idempotent."""
+        self.call("POST", f"{paths.DESCRIPTIONS}/{submission.job}", msgspec.to_builtins(submission.description))
+        return user_protocol.job_state(
+            self.call(
+                "POST",
+                user_protocol.PATH_JOBS,
+                user_protocol.job_request(submission.job, submission.spec, submission.awaits),
+            )
         )
 
     def job(self, job: str) -> dict[str, Any]:
-        """Return what is known of a job."""
+        """Return the control service's view of a job."""
         return self.call("GET", f"{paths.JOBS}/{job}")
 
-    def jobs(self, most: int) -> list[dict[str, Any]]:
-        """The newest last."""
+    def jobs(self, limit: int) -> list[dict[str, Any]]:
+        """Return the last `limit` jobs by id, the newest last."""
         found: list[dict[str, Any]] = []
         after = ""
         while True:
             page = self.call("GET", f"{paths.JOBS}?after={after}")
-            found = (found + page["jobs"])[-most:]
+            found = (found + page["jobs"])[-limit:]
             if not page["more"]:
                 return found
             after = page["last"]
 
     def cancel(self, job: str) -> str:
         """Cancel a job, and return its state."""
-        return words.job_state(self.call("POST", f"{words.PATH_JOBS}/{job}/cancel", {}))
+        return user_protocol.job_state(self.call("POST", f"{user_protocol.PATH_JOBS}/{job}/cancel", {}))
 
-    def output(self, job: str, index: int, most: int) -> dict[str, Any]:
-        """Return the last bytes that a task has written, and by which attempt."""
-        return self.call("GET", f"{paths.OUTPUT}/{job}/{index}?most={most}")
+    def output(self, job: str, index: int, max_bytes: int) -> dict[str, Any]:
+        """Return the end of a task's output, at most `max_bytes`, and the attempt that wrote it."""
+        return self.call("GET", f"{paths.OUTPUT}/{job}/{index}?most={max_bytes}")
 
     def agents(self) -> list[dict[str, Any]]:
         """Return the agents."""
         return self.call("GET", paths.AGENTS)["agents"]
 
     def forget(self, machine: str) -> None:
-        """Have the control service take a machine, and all that it ran, for gone."""
+        """Tell the control service that a machine and all its tasks are gone."""
         self.call("POST", f"{paths.FORGET_MACHINE}/{machine}", {})
--- a/tidebend/client/jobfile.py
+++ b/tidebend/client/jobfile.py
@@ -1,4 +1,4 @@
-"""Job files: HCL, one block a job. What is wrong is told with file, line and field before anything is submitted."""
+"""Job files: HCL with one block for each job. Errors name file, line and field, before anything is submitted."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from tidebend.protocol import JobSpec
 
 JobName = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9_.\-]{0,60}$")]
-# when nobody says how long a task takes; the scheduler learns better from those that finish
-ESTIMATE_S = 60.0
+# run time assumed for a task without an estimate; the scheduler corrects it from tasks that finish
+DEFAULT_ESTIMATE_S = 60.0
 
 
 class JobBlock(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A job as its block in a file describes it."""
+    """A job block of a job file."""
 
     command: Annotated[list[Text], msgspec.Meta(min_length=1)]
     kind: Literal["array", "gang", "service"] = "array"
@@ -33,7 +33,7 @@
     memory_gb: Amount = 0.25
     machines: list[str] = []
     after: list[str] = []  # names of jobs in this file, or ids of others
-    estimate_s: Amount = ESTIMATE_S
+    estimate_s: Amount = DEFAULT_ESTIMATE_S
     deadline_s: Amount | None = None
     environment: dict[str, Text] = {}
     image: Annotated[str, msgspec.Meta(pattern=r"^([A-Za-z0-9][A-Za-z0-9_.\-]{0,100})?$")] = ""
@@ -47,7 +47,7 @@
     limits: ProcessLimits = ProcessLimits()
 
     def spec(self, name: str) -> JobSpec:
-        """Return what the scheduler has to know of the job."""
+        """Return the part of the job that the scheduler needs."""
         return JobSpec(
             job_class=name,
             team=self.team,
@@ -71,7 +71,7 @@
         )
 
     def description(self) -> Description:
-        """Return what agents have to know of the job."""
+        """Return the part of the job that agents need."""
         return Description(
             command=self.command,
             kind=self.kind,
@@ -92,7 +92,7 @@
 
 
 class JobSubmission(msgspec.Struct, frozen=True):
-    """A job with its id, as it is going to be submitted."""
+    """A job with its id, ready to be submitted."""
 
     job: str
     name: str
@@ -102,13 +102,13 @@
 
 
 def new_job_id(name: str) -> str:
-    """Ids come in the order in which they are made, to the second."""
+    """Return a new job id. Ids sort by the second of their creation."""
     name = re.sub(r"[^A-Za-z0-9_.\-]", "-", name)[:60]
     return f"req-{time.strftime('%Y%m%dT%H%M%S', time.gmtime())}-{name}-{secrets.token_hex(3)}"
 
 
 def read_jobs(path: str) -> list[JobSubmission]:
-    """Return the jobs of a file, each after those it waits for. Raises HclFileError."""
+    """Return the jobs of a file, each after its dependencies. Raises HclFileError."""
     file = HclFile(path)
     file.reject_unknown("job")
     _unwrap_limits(file)
@@ -120,11 +120,11 @@
         _check_dependencies(file, name, block, blocks)
     ids = {name: new_job_id(name) for name in blocks}
     directory = Path(path).parent.absolute()
-    return [_ready(name, blocks[name], ids, directory) for name in _in_order_of_dependencies(file, blocks)]
+    return [_make_submission(name, blocks[name], ids, directory) for name in _sort_by_dependencies(file, blocks)]
 
 
 def _unwrap_limits(file: HclFile) -> None:
-    """Have the limits of each job be their block, not a list with it."""
+    """Replace the parsed list of a job's `limits` blocks by its only element."""
     for row in file.values.get("job", []):
         for label, values in row.items() if isinstance(row, dict) else ():
             limits = values.get("limits") if isinstance(values, dict) else None
@@ -146,11 +146,11 @@
         if other not in blocks and not other.startswith("req-"):
             raise file.error(("job", name, "after"), f"{other!r} is neither a job of this file nor an id")
         if other in blocks and blocks[other].kind == "service":
-            raise file.error(("job", name, "after"), f"{other!r} is a service, which never is done")
+            raise file.error(("job", name, "after"), f"{other!r} is a service, which is never done")
 
 
-def _in_order_of_dependencies(file: HclFile, blocks: dict[str, JobBlock]) -> list[str]:
-    """Return the names of the jobs, each after those that it waits for."""
+def _sort_by_dependencies(file: HclFile, blocks: dict[str, JobBlock]) -> list[str]:
+    """Return the names of the jobs, each after its dependencies."""
     ordered: dict[str, None] = {}
     while len(ordered) < len(blocks):
         before = len(ordered)
@@ -163,15 +163,15 @@
     return list(ordered)
 
 
-def _ready(name: str, block: JobBlock, ids: dict[str, str], directory: Path) -> JobSubmission:
-    if block.directory is not None:  # a relative one is meant from where the file is
+def _make_submission(name: str, block: JobBlock, ids: dict[str, str], directory: Path) -> JobSubmission:
+    if block.directory is not None:  # a relative path starts at the file's directory
         block = msgspec.structs.replace(block, directory=str(directory / block.directory))
     dependencies = tuple(ids.get(other, other) for other in block.after)
     return JobSubmission(ids[name], name, block.spec(name), block.description(), dependencies)
 
 
 def single_job(block: JobBlock, name: str) -> JobSubmission:
-    """Return a job that stands in no file."""
+    """Return a job that isn't read from a file."""
     return JobSubmission(new_job_id(name), name, block.spec(name), block.description(), ())
 
 
--- a/tidebend/client/rendering.py
+++ b/tidebend/client/rendering.py
@@ -1,4 +1,4 @@
-"""What people see: tables, progress, the live view. Everything else prints JSON."""
+"""Output for people: tables, progress bars and the live view."""
 
 from __future__ import annotations
 
@@ -18,14 +18,13 @@
 
 COLOURS = {"queued": "yellow", "running": "cyan", "done": "green", "cancelled": "magenta"}
 
-
-# where there is no terminal, nothing is cut to its width
-WIDE = 200
+# width where there is no terminal, so that nothing is truncated
+WIDTH_WITHOUT_TERMINAL = 200
 
 
 def _console() -> Console:
     console = Console(highlight=False)
-    return console if console.is_terminal else Console(highlight=False, width=WIDE)
+    return console if console.is_terminal else Console(highlight=False, width=WIDTH_WITHOUT_TERMINAL)
 
 
 def _state(name: str) -> Text:
@@ -40,7 +39,7 @@
 
 
 def up(control: Any) -> None:
-    """Say where a control service that was started serves."""
+    """Print the address and the data directory of a control service that was started."""
     console = _console()
     console.print(f"tidebend serves on {control.address}, its data is in {control.directory}. Ctrl-C ends it.")
     console.print("In another terminal: tidebend submit -- echo hello", soft_wrap=True)
@@ -74,14 +73,14 @@
 
 
 def details(rows: list[dict[str, Any]]) -> None:
-    """Print jobs with what they wait for and where they run."""
+    """Print jobs with their dependencies and their machines."""
     console = _console()
     for row in rows:
         console.print(_jobs([row]))
         if row.get("waits_for"):
             console.print(f"  waits for {', '.join(row['waits_for'])}", soft_wrap=True)
-        for place in row.get("places", []):
-            console.print(f"  {place['tasks']} on {place['machine']}")
+        for allocation in row.get("places", []):
+            console.print(f"  {allocation['tasks']} on {allocation['machine']}")
 
 
 def _agents(rows: list[dict[str, Any]]) -> Table:
@@ -131,8 +130,8 @@
 
 
 def _top(value: dict[str, Any]) -> Group:
-    over = ("done", "cancelled")
-    rows = sorted(value["jobs"], key=lambda job: job["state"] in over)
+    final_states = ("done", "cancelled")
+    rows = sorted(value["jobs"], key=lambda job: job["state"] in final_states)
     return Group(_agents(value["agents"]), Text(), _jobs(rows))
 
 
@@ -141,25 +140,25 @@
     _console().print(_top(value))
 
 
-def live(desk: ApiClient, every_s: float) -> None:
-    """Until Ctrl-C. A control service that is away for a while is said, and the last view stays."""
+def live(client: ApiClient, every_s: float) -> None:
+    """Show agents and jobs until Ctrl-C. While the control service is unreachable, show the error and the last view."""
     view: Any = Text("asking ...")
     with Live(view, console=_console(), auto_refresh=False, screen=True) as screen:
         while True:
             try:
-                view = _top({"agents": desk.agents(), "jobs": desk.jobs(30)})
-                note = Text(f"{desk.address}  {time.strftime('%H:%M:%S')}", style="dim")
+                view = _top({"agents": client.agents(), "jobs": client.jobs(30)})
+                status_line = Text(f"{client.address}  {time.strftime('%H:%M:%S')}", style="dim")
             except ControlServiceUnreachableError as error:
-                note = Text(f"no answer: {error}", style="red")
-            screen.update(Group(note, view), refresh=True)
+                status_line = Text(f"no answer: {error}", style="red")
+            screen.update(Group(status_line, view), refresh=True)
             time.sleep(max(0.2, every_s))
 
 
 @contextlib.contextmanager
-def progress(wanted: bool) -> Iterator[Callable[[list[dict[str, Any]]], None]]:
-    """A bar a job on a terminal; nothing elsewhere."""
+def progress(enabled: bool) -> Iterator[Callable[[list[dict[str, Any]]], None]]:
+    """Show a progress bar for each job on a terminal, nothing elsewhere. Yields a function that updates it."""
     console = Console(stderr=True)
-    if not wanted or not console.is_terminal:
+    if not enabled or not console.is_terminal:
         yield lambda _: None
         return
     bars: dict[str, Any] = {}
