--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Both sides as real processes: killed by luck from a seed, and at each step of a start, an end and a cancellation."""
+"""Control service and agents as processes, killed at seeded random times and at each step of a start, end or cancel."""
 
 import json
 import os
@@ -27,7 +27,7 @@
     assert loopback.counts["tasks ended"] > 20
 
 
-def _ask(loopback, kind, tasks, cancel_at=None, seconds="0.3", machines=()):
+def _add_job(loopback, kind, tasks, cancel_at=None, seconds="0.3", machines=()):
     script = TASK.replace("{seconds}", seconds).replace("{trap}", "").replace("{child}", "")
     block = JobBlock(
         command=["sh", "-c", script],
@@ -55,9 +55,9 @@
             loopback.control.kill()
             loopback.control.wait()
             loopback.start_control(fault=f"store.{'before' if step % 4 == 1 else 'after'}-commit:{step}")
-            _ask(loopback, "array", 2)
-            _ask(loopback, "gang", 2)
-            _ask(loopback, "array", 1, cancel_at=time.monotonic() + 0.4)
+            _add_job(loopback, "array", 2)
+            _add_job(loopback, "gang", 2)
+            _add_job(loopback, "array", 1, cancel_at=time.monotonic() + 0.4)
             deadline = time.monotonic() + 40.0
             while not loopback.over():
                 assert time.monotonic() < deadline, f"step {step}: no end"
@@ -76,8 +76,8 @@
         ApiClient(tmp_path)
 
 
-def until_stopped(pid):
-    """Wait until none of a process's threads runs any more."""
+def wait_until_stopped(pid):
+    """Wait until all threads of a process have stopped."""
     deadline = time.monotonic() + 10.0
     tasks = Path(f"/proc/{pid}/task")
     while any((task / "stat").read_text().rpartition(")")[2].split()[0] != "T" for task in tasks.iterdir()):
@@ -90,7 +90,7 @@
     loopback = Loopback(tmp_path, seed=1)
     try:
         loopback.begin()
-        _ask(loopback, "array", 1, seconds="7", machines=["far"])
+        _add_job(loopback, "array", 1, seconds="7", machines=["far"])
         (name,) = loopback.asked
         deadline = time.monotonic() + 30.0
         evidence = loopback.evidence / "log"
@@ -100,34 +100,35 @@
             time.sleep(0.05)
         (far,) = [row for row in loopback.desk.agents() if row["kind"] == "far"]
         os.kill(loopback.far.pid, signal.SIGSTOP)
-        # on a busy machine it goes on for a moment, and would count the standstill as a guest's silence
-        until_stopped(loopback.far.pid)
-        stopped = time.monotonic()
-        # an order of now, which it will read when it goes on: by then it is an old one
+        # on a busy machine its threads run on for a moment, and then count the pause as silence of a connection that
+        # hasn't authenticated yet
+        wait_until_stopped(loopback.far.pid)
+        stopped_at = time.monotonic()
+        # a start command sent now; the agent reads it only after it continues, when it is stale
         key = Keyring(loopback.data / "keys.json").bearer_token()
         host, _, port = far["address"].rpartition(":")
         body = json.dumps(
             {"helm": 10**9, "watch": far["session"], "orders": [{"order": "start", "piece": f"{name}/0", "launch": 99}]}
         )
-        late = socket.create_connection((host, int(port)))
-        late.sendall(
+        connection = socket.create_connection((host, int(port)))
+        connection.sendall(
             f"POST /orders HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer {key}\r\n"
             f"Content-Length: {len(body)}\r\n\r\n{body}".encode()
         )
-        while time.monotonic() - stopped < 1.6 * LEASE_S:
-            # its silence proves nothing: the task isn't started anywhere else, and isn't called done
+        while time.monotonic() - stopped_at < 1.6 * LEASE_S:
+            # its silence proves nothing: the task is neither started elsewhere nor recorded as done
             loopback.users()
             assert loopback.desk.job(name)["state"] == "running"
             time.sleep(0.1)
         os.kill(loopback.far.pid, signal.SIGCONT)
-        assert b" 409 " in late.recv(1000).splitlines()[0]
+        assert b" 409 " in connection.recv(1000).splitlines()[0]
         deadline = time.monotonic() + 30.0
         while not loopback.over():
             assert time.monotonic() < deadline
             loopback.users()
             time.sleep(0.1)
         (now,) = [row for row in loopback.desk.agents() if row["kind"] == "far"]
-        # a later session, or, since it was asked to leave meanwhile, another machine
+        # a later session, or another machine since it was asked to leave meanwhile
         assert now["machine"] > far["machine"] or now["session"] > far["session"]
     finally:
         loopback.end()
@@ -139,8 +140,8 @@
 
 def test_the_checker_finds_what_it_looks_for(tmp_path):
     loopback = Loopback(tmp_path, seed=1)
-    _ask(loopback, "array", 2, cancel_at=1.0)
-    _ask(loopback, "array", 1)
+    _add_job(loopback, "array", 2, cancel_at=1.0)
+    _add_job(loopback, "array", 1)
     cancelled, done = loopback.asked
     loopback.asked[cancelled].told = [(1.0, "cancelled")]
     loopback.asked[cancelled].cancelled_at = 100.0
