--- a/deploy/agent.hcl
+++ b/deploy/agent.hcl
@@ -1,27 +1,27 @@
-# An agent alone: `tidebend agent --config deploy/agent.hcl`.
+# Settings of an agent that runs alone: `tidebend agent --config deploy/agent.hcl`.
 
-# The control service, as `tidebend up` says it.
+# The address of the control service, as `tidebend up` prints it.
 control = "127.0.0.1:7070"
 
-# The same keys as the control service's. Only their owner may read the file.
+# A file with the control service's keys. Only its owner may have access to it.
 key_file = "/var/lib/tidebend/keys.json"
 
-# The agent's own directory: what it has begun, and what its tasks write.
+# The agent's data directory: its record of started tasks, and the tasks' output.
 data = "/var/lib/tidebend-agent"
 
-# A machine type of the control service's settings.
+# The machine type, one of those in the control service's settings.
 kind = "local"
 
-# Shown in lists; empty: this machine's name.
+# Shown in lists; if empty, the machine's host name.
 label = ""
 
-# Where it takes orders; port 0: any free one. Beyond loopback only with TLS.
+# Where it listens for commands; port 0 means any free port. Addresses beyond loopback need TLS.
 listen = "127.0.0.1:0"
 
-# It ends itself after so many leases without a word from the control service; 0: never.
+# The agent exits after this many lease durations without contact to the control service; 0 means never.
 alone_leases = 0
 
-# For a control service elsewhere; the certificate is for the address above.
+# For a control service on another machine; the certificate must be valid for the address in `listen`.
 # tls {
 #   authority = "/var/lib/tidebend-agent/tls/authority.pem"
 #   certificate = "/var/lib/tidebend-agent/tls/garage.pem"
--- a/deploy/example-jobs.hcl
+++ b/deploy/example-jobs.hcl
@@ -1,4 +1,4 @@
-# `tidebend submit deploy/example-jobs.hcl`: an array, a service, a gang and a chain.
+# An array, a service, a gang and two dependent jobs: `tidebend submit deploy/example-jobs.hcl`.
 
 job "numbers" {
   command = ["sh", "-c", "echo task $TIDEBEND_TASK of $TIDEBEND_TASKS"]
@@ -8,14 +8,14 @@
 
 job "web" {
   command = ["sleep", "86400"]
-  kind    = "service" # kept up until it is cancelled
+  kind    = "service" # its tasks are restarted until it is cancelled
   tasks   = 3
   cpus    = 0.2
 }
 
 job "together" {
   command  = ["sh", "-c", "sleep 2"]
-  kind     = "gang" # all tasks at the same time, or none
+  kind     = "gang" # all tasks run at the same time, or none does
   tasks    = 4
   cpus     = 0.5
   priority = "high"
