--- a/deploy/agent.hcl
+++ b/deploy/agent.hcl
@@ -3,7 +3,7 @@
 # The address of the control service, as `tidebend up` prints it.
 control = "127.0.0.1:7070"
 
-# A file with the control service's keys. Only its owner may have access to it.
+# A file with the control service's keys. Only its owner may read it.
 key_file = "/var/lib/tidebend/keys.json"
 
 # The agent's data directory: its record of started tasks, and the tasks' output.
