--- a/simulation/checker.py
+++ b/simulation/checker.py
@@ -166,7 +166,7 @@
     return found
 
 
-def judged(world, beside, over_at=None):
+def all_breaches(world, starvation, over_at=None):
     """Every rule and check that a world breaks; each controller is asked about each accepted job once more.
 
     `over_at`: when its troubles were over, else when `beside` last saw any.
@@ -179,7 +179,12 @@
         if (status := world.user("poll", name, node)[0]) != 200
     ]
     found = breaches(world.log, world.jobs, world.teams, world.cancel_s, world.completed)
-    return found + forgotten(world.log, beside.calm_from if over_at is None else over_at) + unknown + beside.breaches
+    return (
+        found
+        + forgotten(world.log, starvation.calm_from if over_at is None else over_at)
+        + unknown
+        + starvation.breaches
+    )
 
 
 def starts_after_cancellation(log):
@@ -193,7 +198,7 @@
     return found
 
 
-class BesideRoom:
+class StarvationDetector:
     """Jobs that wait although nothing is amiss, machines that fit have room and their team is under its limit.
 
     Judged from the workers and the cloud themselves; `look` is to be called about once a second.
@@ -204,7 +209,7 @@
         self.since, self.found = {}, {}
         self.calm_from = world.now
 
-    def look(self):
+    def check(self):
         world = self.world
         if world.troubled():
             self.calm_from = world.now
--- a/simulation/search.py
+++ b/simulation/search.py
@@ -14,7 +14,7 @@
 from functools import partial
 from unittest import mock
 
-from simulation.checker import BesideRoom, contradicted, judged, starts_after_cancellation
+from simulation.checker import StarvationDetector, all_breaches, contradicted, starts_after_cancellation
 from simulation.links import Cut
 from simulation.play import cut_zone
 from simulation.versions import Version, version_at
@@ -197,7 +197,7 @@
 
 def _looks(world, chance):
     seconds = chance.uniform(5.0, 60.0)
-    world.looks_until = world.now + seconds
+    world.concurrent_requests_until = world.now + seconds
     return "", seconds
 
 
@@ -229,7 +229,7 @@
     for name in sorted({key.partition("/")[0] for worker in there for key in worker.tasks} & world.polls.keys()):
         world.cancel(name)
     node, away = world.holder(zone), chance.choice((0.2, 3.0, world.lease_s))
-    world.later.append((world.now + chance.uniform(0.2, 4.0), lambda: world.crash(node, away)))
+    world.scheduled_actions.append((world.now + chance.uniform(0.2, 4.0), lambda: world.crash(node, away)))
     return f"{zone} {'hangs' if hangs else 'is cut off'}, {node} ends for {away:.1f} s", seconds + 4.0 + away
 
 
@@ -239,13 +239,13 @@
     leader = _node(world, chance)
     zone = chance.choice([zone for zone in world.zones if world.holder(zone) != leader] or world.zones)
     there = [worker for worker in world.workers.values() if worker.zone == zone]
-    world.kept += [worker.body() for worker in there]
+    world.retained_reports += [worker.body() for worker in there]
     seconds = chance.uniform(1.05, 1.2) * world.lease_s
     world.mute.update(dict.fromkeys([worker.name for worker in there], world.now + seconds))
     work = {**JOB, "shape": "sweep", "cargo": "img-0", "pieces": 6, "run_s": 20.0, "reckonS": 20.0, "harbor": zone}
-    world.later.append((world.now + seconds, lambda: world.submit(f"req-after-{world.ticks}", **work)))
+    world.scheduled_actions.append((world.now + seconds, lambda: world.submit(f"req-after-{world.ticks}", **work)))
     when = seconds + chance.uniform(0.3, 0.9) * world.lease_s
-    world.later.append((world.now + when, lambda: world.crash(leader, world.lease_s)))
+    world.scheduled_actions.append((world.now + when, lambda: world.crash(leader, world.lease_s)))
     return f"{zone}, {leader} ends", when + world.lease_s
 
 
@@ -450,7 +450,7 @@
         for _, name, _ in jobs
         if chance.random() < 0.6
     )
-    happened, over_at, beside = [], first, BesideRoom(world)
+    happened, over_at, starvation = [], first, StarvationDetector(world)
     with world.clock():
         while world.now < over_at + CALM_S or strikes or upgrades:
             while jobs and begin + jobs[0][0] <= world.now:
@@ -473,8 +473,8 @@
                 happened.append(f"{world.now - begin:.1f} {name} {whom} {seconds:.1f} s")
             world.step()
             if world.ticks % 10 == 0:
-                beside.look()
-        found = judged(world, beside, over_at)
+                starvation.check()
+        found = all_breaches(world, starvation, over_at)
     accepted = {row[3] for row in world.log if row[1] == "told" and row[4] in (200, 201)}
     ended = {name for name, (_, state) in world.answers.items() if state in ("done", "withdrawn")}
     unfinished = [name for name in sorted(accepted) if name not in ended and _ends(name, world.jobs)]
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -64,24 +64,25 @@
         self.deaf = {}  # machine -> until: its reports arrive, answers and commands don't reach it
         self.mute = {}  # machine -> until: commands reach it and are answered, its reports don't arrive
         self.copies = []  # what is copied; see Copies
-        self.late = []  # copies under way: (when, controller, report)
+        self.delayed_reports = []  # copies under way: (when, controller, report)
         self.repeats = []  # direct commands that are repeated: (until, how late)
-        self.again = []  # repeats under way: (when, machine, path, body)
+        self.delayed_commands = []  # repeats under way: (when, machine, path, body)
         self.chance = random.Random(seed + 1)  # what befalls requests; the rest of a seed's day stays as it is
         self.late_reports = []  # (until, share): of these reports a copy comes again, up to well over a lease late
         self.late_writes = []  # (until, share): transactions that get no answer and are carried out 2 to 12 s later
         self.held_up = []  # (until, share): commands that are carried out, and answers that come, seconds later
-        self.under_way = []  # such transactions: (when, controller, path, body)
+        self.delayed_transactions = []  # such transactions: (when, controller, path, body)
         self.lost_answers = []  # (until, share): changes of the state that are carried out at once, without an answer
         self.copies_for_next = []  # (until, share): of these reports a copy is kept until the next leader begins
-        self.kept = []  # such copies
+        self.retained_reports = []  # such copies
         self.led = None  # the leader's record as of the last step
         self.cancelled_at_end = []  # (until, share): of the jobs that end, those that are called off at that moment
         self.cancelled_through = None  # the controller that users ask to cancel jobs; None: any
-        self.looks_until = -1.0  # until then users ask everywhere, also while requests to the state are under way
-        self.looked_at = []  # jobs that were just accepted, ended or cancelled, the newest last
+        # until then users ask everywhere, also while requests to the state are under way
+        self.concurrent_requests_until = -1.0
+        self.recently_changed_jobs = []  # jobs that were just accepted, ended or cancelled, the newest last
         self.looking = False
-        self.later = []  # what befalls it yet: (when, action)
+        self.scheduled_actions = []  # what befalls it yet: (when, action)
         self.slow = []  # (until, share): requests to the state service whose answers come after the time-out
         self.unread = {}  # controller -> until: its reads of changes are unanswered, all else is answered
         self.hung_watch = {}  # controller -> until: the watch that it has open brings nothing, unnoticed
@@ -97,7 +98,7 @@
         self.polls = {}
         self.answers = {}
         self.ticks = 0
-        self.steady = self.now
+        self.monotonic_now = self.now
 
     def zone_of(self, node):
         return self.zones[self.nodes.index(node) % len(self.zones)]
@@ -167,19 +168,19 @@
                 raise version.no_answer("cut")
             raise version.unreachable("cut")
         if side == "workers" and method == "POST" and self.befalls(self.held_up):
-            self.again.append((self.now + self.chance.uniform(2.0, 12.0), worker.name, path, body))
+            self.delayed_commands.append((self.now + self.chance.uniform(2.0, 12.0), worker.name, path, body))
             raise version.no_answer("held up")
         if side == "state":
-            self.meanwhile(node, method, path, body, False)
+            self.during_store_request(node, method, path, body, False)
         answer = target()
         if side == "state":
-            self.meanwhile(node, method, path, body, True)
+            self.during_store_request(node, method, path, body, True)
             if method != "GET" and self.befalls(self.lost_answers):
                 raise version.no_answer("only the answer is lost")
         if answer is None:
             raise version.no_answer("hangs")
         if side == "workers" and method == "POST":  # carried out, and not kept back by a cut
-            self.again += [
+            self.delayed_commands += [
                 (self.now + late_s, worker.name, path, body) for until, late_s in self.repeats if self.now < until
             ]
         return answer[0], json.loads(json.dumps(answer[1]))
@@ -192,7 +193,7 @@
             if (rows is self.slow or path == "/multi") and self.befalls(rows):
                 if method == "POST":
                     when = self.now + self.chance.uniform(least, most)
-                    self.under_way.append((when, node, path, body))
+                    self.delayed_transactions.append((when, node, path, body))
                 raise version.no_answer("no answer in time")
 
     def befalls(self, rows):
@@ -200,12 +201,12 @@
         share = max((share for until, share in rows if self.now < until), default=0.0)
         return share > 0.0 and self.chance.random() < share
 
-    def carry_out_late(self):
+    def apply_delayed_transactions(self):
         """What got no answer is carried out all the same, after newer requests; an outage keeps it until it's over."""
         if self.now < self.state.down_until:
             return
-        for row in [row for row in self.under_way if row[0] <= self.now]:
-            self.under_way.remove(row)
+        for row in [row for row in self.delayed_transactions if row[0] <= self.now]:
+            self.delayed_transactions.remove(row)
             self.state.call(None, "POST", row[2], row[3])
 
     def to_controller(self, machine, node, method, path, body):
@@ -242,25 +243,29 @@
     def copy(self, machine, node, report):
         for row in self.copies:
             if self.now < row.until and row.machine in (None, machine):
-                self.late += [(self.now + row.late_s, to, report) for to in (self.nodes if row.everywhere else [node])]
+                self.delayed_reports += [
+                    (self.now + row.late_s, to, report) for to in (self.nodes if row.everywhere else [node])
+                ]
         if self.befalls(self.copies_for_next):
-            self.kept.append(report)
+            self.retained_reports.append(report)
         if self.befalls(self.late_reports):
             to = self.chance.choice(self.nodes)
-            self.late.append((self.now + self.chance.uniform(2.0, 1.8 * self.lease_s), to, report))
+            self.delayed_reports.append((self.now + self.chance.uniform(2.0, 1.8 * self.lease_s), to, report))
 
     def deliver_copies(self):
         leader = self.state.items.get("tidebend/live/leader")
         if leader is not None and leader[1] != self.led:
             self.led = leader[1]
-            self.late += [(self.now, node, report) for report in self.kept for node in self.nodes]
-            self.kept.clear()
-        for row in [row for row in self.again if row[0] <= self.now]:
-            self.again.remove(row)
+            self.delayed_reports += [
+                (self.now, node, report) for report in self.retained_reports for node in self.nodes
+            ]
+            self.retained_reports.clear()
+        for row in [row for row in self.delayed_commands if row[0] <= self.now]:
+            self.delayed_commands.remove(row)
             if row[1] in self.workers:
                 self.workers[row[1]].direct("POST", row[2], row[3])
-        due = [row for row in self.late if row[0] <= self.now]
-        self.late = [row for row in self.late if row[0] > self.now]
+        due = [row for row in self.delayed_reports if row[0] <= self.now]
+        self.delayed_reports = [row for row in self.delayed_reports if row[0] > self.now]
         for _, node, report in due:
             controller = self.controllers.get(node)
             if controller is not None and self.now >= self.frozen.get(node, -1.0):
@@ -276,7 +281,7 @@
         if self.completed[key] == self.now:
             self.last_done[job] = self.now
             if self.done_tasks[job] == self.jobs[job]["pieces"]:
-                self.looked_at.append(job)
+                self.recently_changed_jobs.append(job)
                 if self.befalls(self.cancelled_at_end):
                     self.cancel(job)
 
@@ -334,13 +339,18 @@
         if not self.looking:
             self.answers[name] = (status, state)
         if (before[0] != status and status in (200, 201)) or (before[1] != state and state == "withdrawn"):
-            self.looked_at.append(name)
+            self.recently_changed_jobs.append(name)
         return status, state
 
-    def meanwhile(self, node, method, path, body, carried_out):
+    def during_store_request(self, node, method, path, body, carried_out):
         """Called while a controller's request to the state service is under way: users ask, repeat and cancel."""
-        if self.now < self.looks_until and not self.looking and self.looked_at and self.chance.random() < 0.2:
-            self.look(self.chance.choice(self.looked_at[-3:]), [self.chance.choice(self.nodes)])
+        if (
+            self.now < self.concurrent_requests_until
+            and not self.looking
+            and self.recently_changed_jobs
+            and self.chance.random() < 0.2
+        ):
+            self.look(self.chance.choice(self.recently_changed_jobs[-3:]), [self.chance.choice(self.nodes)])
 
     def look(self, name, nodes):
         self.looking = True
@@ -357,10 +367,10 @@
 
     def look_closely(self):
         """At all nodes, right after a job was accepted, ended or cancelled."""
-        if self.now < self.looks_until:
-            for name in dict.fromkeys(self.looked_at[-3:]):
+        if self.now < self.concurrent_requests_until:
+            for name in dict.fromkeys(self.recently_changed_jobs[-3:]):
                 self.look(name, self.nodes)
-        del self.looked_at[:-3]
+        del self.recently_changed_jobs[:-3]
 
     def submit_unfit(self, name, status, **spec):
         """A job that must be refused with this status: it fits no machine, or lacks a field."""
@@ -419,10 +429,10 @@
                     ),
                 ]
             )
-            or self.under_way
-            or self.again
-            or self.late
-            or self.later
+            or self.delayed_transactions
+            or self.delayed_commands
+            or self.delayed_reports
+            or self.scheduled_actions
             or None in self.controllers.values()
         )
 
@@ -473,7 +483,7 @@
         if turn % 2 == 0:
             if self.now >= self.hung_watch.get(node, -1.0):
                 self._quietly(quiet, driver.catch_up)
-                driver.note_watch(self.steady)
+                driver.note_watch(self.monotonic_now)
             driver.maintain_shards()
         if turn % 3 == 0 and driver.is_loaded:
             self._quietly(quiet, driver.mapping_event)
@@ -513,16 +523,16 @@
     def step(self):
         self.ticks += 1
         self.now = round(self.now + TICK, 6)
-        self.steady = max(self.steady, self.now)
+        self.monotonic_now = max(self.monotonic_now, self.now)
         for cut in [cut for cut in self.cuts if cut.until <= self.now]:
             self.cuts.remove(cut)
             for request in cut.held:
                 request()  # delivered late, in order
-        for row in [row for row in self.later if row[0] <= self.now]:
-            self.later.remove(row)
+        for row in [row for row in self.scheduled_actions if row[0] <= self.now]:
+            self.scheduled_actions.remove(row)
             row[1]()
         self.deliver_copies()
-        self.carry_out_late()
+        self.apply_delayed_transactions()
         self.state.step()
         self.cloud.step()
         for number, node in enumerate(self.nodes):
@@ -534,8 +544,10 @@
         self.look_closely()
 
     def sleep(self, seconds):
-        self.steady += seconds  # a part waits: only the steady clock moves on; the world catches up with it
+        self.monotonic_now += seconds  # a part waits: only the steady clock moves on; the world catches up with it
 
     def clock(self):
         """Patches for the time module while the world runs."""
-        return mock.patch.multiple("time", monotonic=lambda: self.steady, time=lambda: 1e9 + self.now, sleep=self.sleep)
+        return mock.patch.multiple(
+            "time", monotonic=lambda: self.monotonic_now, time=lambda: 1e9 + self.now, sleep=self.sleep
+        )
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from simulation.checker import BesideRoom, breaches, judged
+from simulation.checker import StarvationDetector, all_breaches, breaches
 from simulation.world import World
 from tests.test_guards import TYPES
 from tests.test_scenarios import JOB
@@ -67,9 +67,9 @@
                     left.clear()
                     ask(world, second, name, "n1")
 
-        world.meanwhile = meanwhile
+        world.during_store_request = meanwhile
         ask(world, first, name, "n0")
-        del world.meanwhile
+        del world.during_store_request
         for node in world.nodes:
             ask(world, "poll", name, node)
             ask(world, "submit", name, node)
@@ -118,14 +118,14 @@
             )
             asking.clear()
 
-        world.meanwhile = meanwhile
-        beside = BesideRoom(world)
+        world.during_store_request = meanwhile
+        starvation = StarvationDetector(world)
         for number in range(1200):
             world.step()
             if number % 10 == 0:
-                beside.look()
-        del world.meanwhile
-        assert not judged(world, beside)
+                starvation.check()
+        del world.during_store_request
+        assert not all_breaches(world, starvation)
         assert {world.user("poll", name)[1] for name in world.jobs} <= {"done", "withdrawn"}
 
 
@@ -153,11 +153,11 @@
 
         def meanwhile(node, method, path, body, carried_out, first=first, world=world):
             if carried_out and node == "n0" and path == "/multi" and "req-b" in str(body):
-                del world.meanwhile
+                del world.during_store_request
                 ask(world, "cancel", "req-b", "n1")
                 first.cache.catch_up(0.0, "claim")
 
-        world.meanwhile = meanwhile
+        world.during_store_request = meanwhile
         assert ask(world, "submit", "req-b", "n0") == (201, "withdrawn")
 
 
--- a/tests/test_final_states.py
+++ b/tests/test_final_states.py
@@ -37,7 +37,7 @@
 
 def crash(world, node, seconds, times):
     for when in times:
-        world.later.append((world.now + when, lambda: world.crash(node, seconds)))
+        world.scheduled_actions.append((world.now + when, lambda: world.crash(node, seconds)))
 
 
 def nothing(world):
@@ -62,7 +62,7 @@
 
 
 def users_look_closely(world):
-    world.looks_until = world.now + 60.0
+    world.concurrent_requests_until = world.now + 60.0
 
 
 TROUBLES = (
@@ -135,7 +135,7 @@
 def test_what_this_version_calls_cancelled_is_never_made_done_though_production_recorded_the_cancellation(former, seed):
     world = mixed_world(seed, former)
     world.cancelled_through = "n1"
-    world.looks_until = 1e9
+    world.concurrent_requests_until = 1e9
     play(world, nothing)
     assert told_cancelled(world) & complete(world)
     assert not contradicted(world.log, by_new_only=True)
@@ -224,8 +224,8 @@
                     lambda job, _, ended=ended, done=done: job.with_ended_tasks(ended, done & job.all_tasks),
                     {},
                 )
-        world.now = world.steady = round(world.now + 0.5, 6)
-        world.carry_out_late()
+        world.now = world.monotonic_now = round(world.now + 0.5, 6)
+        world.apply_delayed_transactions()
         for node in world.nodes:
             world.user("poll", "req-a", node)
 
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from simulation.checker import BesideRoom, judged
+from simulation.checker import StarvationDetector, all_breaches
 from simulation.links import Cut
 from simulation.play import cut_zone
 from simulation.search import TIMES
@@ -18,13 +18,13 @@
 GANG = {"shape": "group", "pieces": 2, "run_s": 200.0, "vcpus": 1.0, "markS": 5.0, "stowS": 2.0}
 
 
-def run(world, seconds, beside=None, each=lambda: None):
+def run(world, seconds, starvation=None, each=lambda: None):
     until = world.now + seconds
     while world.now < until:
         each()
         world.step()
-        if beside is not None and world.ticks % 10 == 0:
-            beside.look()
+        if starvation is not None and world.ticks % 10 == 0:
+            starvation.check()
 
 
 def times(row):
@@ -42,7 +42,7 @@
 
 def refused_then_outage(world, seconds):
     refused(world, seconds)
-    world.later.append((world.now + 1.0, lambda: outage(world, seconds)))
+    world.scheduled_actions.append((world.now + 1.0, lambda: outage(world, seconds)))
 
 
 def alone(world, seconds):
@@ -57,7 +57,7 @@
 def end_one_after_the_other(world, seconds):
     """Who takes the blocks over ends too, a moment before it gives up the machines that it never heard."""
     for number in range(3):
-        world.later.append(
+        world.scheduled_actions.append(
             (
                 world.now + 0.5 + number * 0.85 * world.lease_s,
                 lambda: world.crash(world.holder("west"), 0.3 * world.lease_s),
@@ -75,14 +75,14 @@
     for world in small(seed, **times(row)):
         for number in range(6):
             world.submit(f"req-{number}", **{**JOB, **(SERVICE, LONG, GANG)[number % 3], "crew": "team"})
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         run(world, 25.0)
         hang_s = share * world.cancel_s
         assert len(world.cancel_now(4, hang_s)) == 4
         run(world, 0.5)  # confirmed
         STRIKES[strike](world, hang_s + 8.0)
-        run(world, hang_s + 8.0 + 100.0, beside)
-        return judged(world, beside)
+        run(world, hang_s + 8.0 + 100.0, starvation)
+        return all_breaches(world, starvation)
     return None
 
 
@@ -139,7 +139,7 @@
                 f"req-{number}",
                 **{**JOB, "crew": ("team", "other")[number % 2], "pieces": 3, "vcpus": 2.0, "run_s": 8.0},
             )
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         run(world, 20.0)
         used = {
             team["name"]: sum(
@@ -164,8 +164,8 @@
             world.cancel(name)
         run(world, 0.3)
         STRIKES[strike](world, seconds)
-        run(world, 150.0, beside)
-        assert not judged(world, beside)
+        run(world, 150.0, starvation)
+        assert not all_breaches(world, starvation)
         assert {world.user("poll", f"req-{number}")[1] for number in range(4, 10)} == {"done"}
 
 
@@ -191,10 +191,10 @@
             if names and chance.random() < 0.15:
                 world.cancel(names.pop())
 
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         run(world, 18.0, each=cancel)
-        run(world, 110.0, beside)
-        assert not judged(world, beside)
+        run(world, 110.0, starvation)
+        assert not all_breaches(world, starvation)
         left = {
             key.partition("/")[0]
             for worker in world.workers.values()
@@ -214,11 +214,11 @@
             world.submit("req-a", **{**JOB, "pieces": 30, "run_s": 15.0})
             world.submit("req-g", **{**JOB, **GANG, "vcpus": 6.0, "run_s": 20.0})
             getattr(world, writes).append((world.now + 10.0, 0.5))
-            beside = BesideRoom(world)
+            starvation = StarvationDetector(world)
             run(world, 2.0 + 0.5 * seed)
             world.crash(leader_of(world), 4.0)
-            run(world, 150.0, beside)
-            assert not judged(world, beside)
+            run(world, 150.0, starvation)
+            assert not all_breaches(world, starvation)
             assert {world.answers[name][1] for name in ("req-a", "req-g")} == {"done"}
 
 
@@ -242,14 +242,14 @@
                     if task.state == "running":
                         worker.finish(key, "error")
             run(world, 12.0)
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         for _ in range(3):
-            world.kept += reports
+            world.retained_reports += reports
             world.crash(leader_of(world), away)
             run(world, 8.0)
-            assert not world.kept
-        run(world, 120.0, beside)
-        assert not judged(world, beside)
+            assert not world.retained_reports
+        run(world, 120.0, starvation)
+        assert not all_breaches(world, starvation)
         assert {world.answers[f"req-{number}"][1] for number in (0, 1, 3, 4)} == {"done"}
 
 
@@ -258,7 +258,7 @@
     for world in small(4):
         for number in range(8):
             world.submit(f"req-{number}", **{**JOB, **(LONG, GANG, SERVICE)[number % 3], "run_s": 30.0, "vcpus": 0.5})
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         run(world, 5.0)
         for number in range(10):
             if within == "an outage" and number == 4:
@@ -271,8 +271,8 @@
             if number in (2, 5):
                 world.cancel(f"req-{number}")
             run(world, 12.0)
-        run(world, 120.0, beside)
-        assert not judged(world, beside)
+        run(world, 120.0, starvation)
+        assert not all_breaches(world, starvation)
         assert {world.answers[f"req-{number}"][1] for number in (0, 1, 3, 4, 6, 7)} == {"done"}
         assert {world.answers[f"req-{number}"][1] for number in (2, 5)} == {"withdrawn"}
 
@@ -288,7 +288,7 @@
         }
         for name, spec in bound.items():
             world.submit(name, **{**JOB, **spec})
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         run(world, 10.0)
         if lost == "machines":
             for name in [name for name, worker in world.workers.items() if worker.zone == "south"]:
@@ -297,8 +297,8 @@
             cut_zone(world, "south", 2.5 * world.lease_s, True)
             if lost == "zone and leader":
                 world.crash(leader_of(world), 6.0)
-        run(world, 180.0, beside)
-        assert not judged(world, beside)
+        run(world, 180.0, starvation)
+        assert not all_breaches(world, starvation)
         assert {world.answers[name][1] for name in ("req-a", "req-s", "req-g")} == {"done"}
         assert world.answers["req-v"][1] == "running"
 
@@ -315,11 +315,11 @@
             world.submit(f"req-v{number}", **{**JOB, **SERVICE, "rank": "critical"})
         world.slow.append((world.now + 60.0, 0.3))
         world.held_up.append((world.now + 60.0, 0.3))
-        beside = BesideRoom(world)
+        starvation = StarvationDetector(world)
         began = len(world.log)
-        run(world, 60.0, beside)
+        run(world, 60.0, starvation)
         polls = [row[4] for row in world.log[began:] if row[1:3] == ("told", "poll")]
         assert polls.count(200) > 0.6 * len(polls) > 100
-        run(world, 150.0, beside)
-        assert not judged(world, beside)
+        run(world, 150.0, starvation)
+        assert not all_breaches(world, starvation)
         assert {world.answers[f"req-{number}"][1] for number in range(20)} == {"done"}
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from simulation.checker import BesideRoom, judged, starts_after_cancellation
+from simulation.checker import StarvationDetector, all_breaches, starts_after_cancellation
 from simulation.world import World
 from tests.test_answers import ask, small
 from tests.test_hand_overs import GANG, LONG, SERVICE, run
@@ -58,11 +58,13 @@
 
     def prepare(world):
         lost.append(lose(world, writes(kind)))
-        world.later.append((world.now + (8.0 if kind in AT_FIRST else 0.0), lambda: vars(world).pop("from_controller")))
+        world.scheduled_actions.append(
+            (world.now + (8.0 if kind in AT_FIRST else 0.0), lambda: vars(world).pop("from_controller"))
+        )
 
     for world in small(1, prepare=prepare):
-        world.looks_until = world.now + 40.0
-        beside = BesideRoom(world)
+        world.concurrent_requests_until = world.now + 40.0
+        starvation = StarvationDetector(world)
         day(world)
         for number in range(5):
             run(world, (0.0, 0.5, 3.0, 3.0, 3.0)[number])
@@ -73,8 +75,8 @@
             del world.from_controller
             if number == 2:
                 world.cancel("req-l")
-        run(world, 100.0, beside)
-        assert not judged(world, beside)
+        run(world, 100.0, starvation)
+        assert not all_breaches(world, starvation)
         off = {row[3] for row in world.log if row[1:3] == ("asked", "cancel")}  # by those who look closely, too
         expected = {"req-a": "done", "req-large": "done", "req-g": "done", "req-v": "running"}
         for name in expected.keys() - off:
@@ -110,7 +112,7 @@
             for _ in range(6):
                 world.cloud.add("box", zone, False, -50.0)
         run(world, 10.0)
-        beside, asked = BesideRoom(world), 0
+        starvation, asked = StarvationDetector(world), 0
         before, began = Counter(world.state.counts), world.now
         for _ in range(150):
             for number in range(asked, asked + 4):
@@ -118,15 +120,15 @@
                 if number % 4 == 0:
                     name = f"req-{number}"
                     delay = (0.3, 2.0, 5.0, 8.0)[number // 4 % 4]
-                    world.later.append((world.now + delay, partial(world.cancel, name)))
+                    world.scheduled_actions.append((world.now + delay, partial(world.cancel, name)))
             asked += 4
-            run(world, 1.0, beside)
+            run(world, 1.0, starvation)
             # users stop asking about what is over
             for name in [name for name in world.polls if world.answers[name][1] in ("done", "withdrawn")]:
                 del world.polls[name]
         changes = (world.state.counts["changes"] - before["changes"]) / asked
         failed = (world.state.counts["conflicts"] - before["conflicts"]) / asked
-        run(world, 60.0, beside)
+        run(world, 60.0, starvation)
         answers = Counter(world.answers[f"req-{n}"][1] for n in range(asked))
         assert set(answers) == {"done", "withdrawn"}
         assert answers["done"] > 0.6 * asked
@@ -147,4 +149,4 @@
         assert len(late) <= 0.02 * asked, late
         assert max(late, default=0.0) < 2.0, late
         assert world.now - began > 200.0
-        assert not judged(world, beside)
+        assert not all_breaches(world, starvation)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -135,14 +135,14 @@
         first = world.controllers["n0"]
         began = first.cache.as_of
         world.unread["n0"] = world.now + 100.0
-        world.steady += 5.0
+        world.monotonic_now += 5.0
         assert first.coordinator.renew_lease()
         first.state.get("tidebend/final/req-none")
         first.job_writer.write_edit("req-a", lambda job, _: job, {})
         assert first.cache.as_of == began
         assert first.cache.age_s >= 5.0
         del world.unread["n0"]
-        before = world.steady
+        before = world.monotonic_now
         first.cache.catch_up(0.0, "claim")
         assert first.cache.as_of == before
 
@@ -155,11 +155,11 @@
 
         def slow(prefix, revision, wait_s, kind, changes=changes, world=world):
             answer = changes(prefix, revision, wait_s, kind)
-            world.steady += 4.0
+            world.monotonic_now += 4.0
             return answer
 
         first.state.changes = slow
-        before = world.steady
+        before = world.monotonic_now
         first.cache.catch_up(0.0, "claim")
         assert first.cache.as_of == before
         assert first.cache.age_s >= 4.0
@@ -215,13 +215,13 @@
         world.late_writes.append((world.now + 1.0, 1.0))
         first.coordinator.mark_unreachable("south.0", 6, 30.0)
         world.late_writes.clear()
-        assert len(world.under_way) == 1
+        assert len(world.delayed_transactions) == 1
         assert world.state.items[key][0]["unheard"] == []
         first.coordinator.clear_unreachable("south.0")
         first.coordinator.mark_unreachable("west.0", 6, 30.0)
         for _ in range(150):
             world.step()
-        assert not world.under_way
+        assert not world.delayed_transactions
         assert world.state.items[key][0]["unheard"] == ["west.0"]
 
 
@@ -235,7 +235,7 @@
         world.late_writes.append((world.now + 0.05, 1.0))
         first.coordinator.renew_lease()
         world.late_writes.clear()
-        world.under_way.clear()
+        world.delayed_transactions.clear()
         assert "tidebend/live/node/n0" not in world.state.items
         assert first.coordinator.renew_lease()
         assert world.state.items["tidebend/live/node/n0"][0]["lease"] == first.coordinator.lease
@@ -251,7 +251,7 @@
         world.crash("n0", 0.1)
         while key not in world.state.items or world.state.items[key][0]["lease"] == first.coordinator.lease:
             world.step()
-        world.under_way = [(world.now, *row[1:]) for row in world.under_way]
+        world.delayed_transactions = [(world.now, *row[1:]) for row in world.delayed_transactions]
         for _ in range(150):
             world.step()
             assert key in world.state.items
@@ -267,7 +267,7 @@
     for world in busy(1, 1.0, 10.0):
         first, second = first_of(world), world.controllers["n1"]
         before = repr(first.peer_exchange.peers["n1"])
-        world.steady += 0.5
+        world.monotonic_now += 0.5
         first.peer_exchange.receive({**second.peer_frame(), **changes})
         assert repr(first.peer_exchange.peers["n1"]) == before
 
@@ -292,9 +292,9 @@
         first = first_of(world)
         world.state.limits["write_rps"] = 0.0
         # so that there is something to announce
-        first.coordinator.announcement._unreachable_until["south.0"] = world.steady + 30.0
-        world.steady += 3.0
-        began = world.steady
+        first.coordinator.announcement._unreachable_until["south.0"] = world.monotonic_now + 30.0
+        world.monotonic_now += 3.0
+        began = world.monotonic_now
         assert not first.coordinator.renew_lease()
         assert first.coordinator.lease_until >= began + 3.0
 
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -37,7 +37,7 @@
     slept = []
 
     def sleep(seconds):
-        world.steady += seconds
+        world.monotonic_now += seconds
         slept.append(seconds)
         if len(slept) == 5:
             controller.cache.catch_up(0.0, "claim")
@@ -55,12 +55,12 @@
 def test_requests_wait_no_longer_than_a_moment_while_nothing_can_be_read(world):
     """An outage of the state service at the start must not hold users' connections."""
     controller = restarted(world)
-    began = world.steady
+    began = world.monotonic_now
     assert ask(controller, "GET", "/api/jobs/req-000001").status == 503
-    assert world.steady - began <= 0.2 * controller.settings.controller_lease_s + 0.1
-    began = world.steady
+    assert world.monotonic_now - began <= 0.2 * controller.settings.controller_lease_s + 0.1
+    began = world.monotonic_now
     assert ask(controller, "GET", "/ready").status == 503
-    assert world.steady - began < 0.02  # and only once
+    assert world.monotonic_now - began < 0.02  # and only once
 
 
 def test_a_start_costs_the_state_service_and_the_cloud_a_few_calls(world):
--- a/tests/test_tenancy.py
+++ b/tests/test_tenancy.py
@@ -68,7 +68,7 @@
         machine.last_heartbeat = -1e9
     first.cache.catch_up(0.0, "claim")
     first.scheduling_loop.mapping_event()
-    world.steady += 2 * first.scheduling_loop.completions.allocation_pause_s
+    world.monotonic_now += 2 * first.scheduling_loop.completions.allocation_pause_s
     first.scheduling_loop.mapping_event()
     second.cache.catch_up(0.0, "claim")
     while claim_in(second, "south", "b", 1 << tasks) is not None:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -70,7 +70,7 @@
         _, version = first.cache.get("tidebend/live/block/north.0")
         first.coordinator.shard_records.grant("north.0", version, "n0", first.coordinator.lease)
         world.now += 1.0
-        world.steady += 1.0
+        world.monotonic_now += 1.0
         first.coordinator.maintain_shards()
         assert first.coordinator.grant("north.0").held_since > before.held_since
 
@@ -106,7 +106,7 @@
         came = first.zone_probe.report_ages().get("south.0", 1e9)
         assert late(first, old[3]).status == 421  # not ours: whoever it is, it came
         assert first.zone_probe.report_ages()["south.0"] < came
-        world.steady += 2.0
+        world.monotonic_now += 2.0
         late(first, old[0])
         late(first, old[3])
         assert first.zone_probe.report_ages()["south.0"] >= 2.0
@@ -118,12 +118,12 @@
             world.controllers[node] for node in ("n0", "n2") if world.controllers[node].coordinator.grant("south.0")
         )
         holder.machine_registry.forget([worker.name])
-        began = world.steady
+        began = world.monotonic_now
         for raw in old:
             late(holder, raw)
-            world.steady += 0.5
+            world.monotonic_now += 0.5
         assert holder.machine_registry.machines[worker.name].last_heartbeat <= began  # the first alone
-        assert worker.name not in holder.scheduling_loop.free_capacity.usable_machines(world.steady, time.time())
+        assert worker.name not in holder.scheduling_loop.free_capacity.usable_machines(world.monotonic_now, time.time())
 
 
 TROUBLES = {
