--- a/simulation/checker.py
+++ b/simulation/checker.py
@@ -1,32 +1,32 @@
-"""The rules, checked against the stand-ins' own log. Independent of the service's code."""
+"""Invariants of the scheduler, checked against the simulation's own log, independently of the scheduler's code."""
 
 from __future__ import annotations
 
 FINAL_STATES = ("done", "withdrawn")
 
 
-def goes_back(final, said_at, state, began):
-    """Whether an answer contradicts a final one, which stands at `said_at` in the log.
+def contradicts(final, said_at, state, began):
+    """Whether an answer contradicts an earlier final answer, which is at index `said_at` of the log.
 
-    An answer that isn't final may be older if its question was asked, at `began` in the log, before the final one.
+    A non-final answer is allowed if its request was sent, at log index `began`, before the final answer was given.
     """
     return state != final and (said_at < began or state in FINAL_STATES)
 
 
 def breaches(log, jobs, teams, cancel_s, completed_at=None):
-    """Every rule broken, as (rule, time, text)."""
+    """Return every violated invariant as (rule, time, text)."""
     found = []
-    on = {}  # task -> {machine: (zone, since)}
-    cancelled, first_asked, finals, accepted = {}, {}, {}, {}
+    running_on = {}  # task -> {machine: zone}
+    cancelled, first_asked, final_states, accepted = {}, {}, {}, {}
     usage = {team["name"]: [0.0, 0.0] for team in teams}
     limits = {team["name"]: (team.get("cpus_max") or 1e18, team.get("gpus_max") or 1e18) for team in teams}
-    late = set()
+    ran_after_cancel = set()
     orphans = set()
-    by_job = {}  # job -> zone -> its tasks' places there
-    overdue = []  # (when, job): cancelled jobs whose tasks must be gone by then, in order
+    zone_counts = {}  # job -> zone -> number of its tasks there
+    overdue = []  # (deadline, job), in order: cancelled jobs whose tasks must have stopped by then
 
-    def before(job):
-        """All jobs that a job needs, directly or through others."""
+    def prerequisites(job):
+        """Return all jobs that a job waits for, directly or transitively."""
         found, left = set(), [job]
         while left:
             for other in jobs.get(left.pop(), {}).get("awaits") or ():
@@ -35,29 +35,29 @@
                     left.append(other)
         return found
 
-    def check_late(now):
+    def check_overdue(now):
         while overdue and now > overdue[0][0]:
             _, job = overdue.pop(0)
-            if any(by_job.get(job, {}).values()) and job not in late:
-                late.add(job)
+            if any(zone_counts.get(job, {}).values()) and job not in ran_after_cancel:
+                ran_after_cancel.add(job)
                 found.append(("ran_cancelled", now, f"tasks of {job} are still on machines"))
 
-    unfit = {}  # jobs that must be refused -> with which status
-    ended_at = {}  # job -> where in the log its final state was first told
+    must_be_refused = {}  # jobs that must be rejected -> expected status
+    final_at = {}  # job -> log index of its first final answer
     accepted_at = {}
 
     for place, row in enumerate(log):
         now, what = row[0], row[1]
-        check_late(now)
+        check_overdue(now)
         if what == "on":
             _, _, task, _, machine, zone, kind, spot = row
             job = task.partition("/")[0]
             spec = jobs[job]
-            if on.get(task):
-                found.append(("ran_twice", now, f"{task} on {sorted(on[task])} and {machine}"))
+            if running_on.get(task):
+                found.append(("ran_twice", now, f"{task} on {sorted(running_on[task])} and {machine}"))
             if job in cancelled and now > cancelled[job] + cancel_s:
-                found.append(("ran_cancelled", now, f"{task} starts"))
-            zones = by_job.setdefault(job, {})
+                found.append(("ran_cancelled", now, f"{task} starts after cancellation"))
+            zones = zone_counts.setdefault(job, {})
             zones[zone] = zones.get(zone, 0) + 1
             wrong = (
                 (spec["hulls"] is not None and kind not in spec["hulls"])
@@ -73,8 +73,8 @@
                     n for n in range(jobs[other]["pieces"]) if (completed_at or {}).get(f"{other}/{n}", 1e18) > now
                 ]
                 if missing:
-                    found.append(("too_early", now, f"{task} starts, and {other} lacks {missing[:3]}"))
-            on.setdefault(task, {})[machine] = zone
+                    found.append(("too_early", now, f"{task} starts before tasks {missing[:3]} of {other}"))
+            running_on.setdefault(task, {})[machine] = zone
             used = usage[spec["crew"]]
             used[0] += spec["vcpus"]
             used[1] += spec["accelerators"]
@@ -82,22 +82,22 @@
                 found.append(("quota", now, f"{spec['crew']} uses {used}"))
         elif what == "off":
             _, _, task, _, machine, *_ = row
-            zone = on.get(task, {}).pop(machine, None)
+            zone = running_on.get(task, {}).pop(machine, None)
             if zone is not None:
-                by_job[task.partition("/")[0]][zone] -= 1
+                zone_counts[task.partition("/")[0]][zone] -= 1
                 spec = jobs[task.partition("/")[0]]
                 usage[spec["crew"]][0] -= spec["vcpus"]
                 usage[spec["crew"]][1] -= spec["accelerators"]
         elif what == "asked":
             first_asked.setdefault((row[2], row[3]), now)
             if row[2] == "submit" and "refused" in (row[4] or ()):
-                unfit[row[3]] = row[4]["refused"]
+                must_be_refused[row[3]] = row[4]["refused"]
         elif what == "told":
             _, _, action, job, status, state = row[:6]
-            # Where in the log the question began: nobody need know what was told while it was under way.
+            # Log index at which the request was sent: its answer needn't reflect answers given while it was in flight.
             began = row[6] if len(row) > 6 else place
-            if job in unfit and action == "submit" and status in (200, 201):
-                found.append(("accepted_unfit", now, f"{job}: {status}, not {unfit[job]}"))
+            if job in must_be_refused and action == "submit" and status in (200, 201):
+                found.append(("accepted_unfit", now, f"{job}: {status}, expected {must_be_refused[job]}"))
             if status in (200, 201) and ("submit", job) not in first_asked:
                 found.append(("invented", now, f"{job} was never submitted"))
             refused = status == 404 or (action == "submit" and status in (400, 422))
@@ -106,44 +106,44 @@
             if status in (200, 201):
                 accepted.setdefault(job, now)
                 accepted_at.setdefault(job, place)
-                if job in finals and goes_back(finals[job], ended_at[job], state, began):
-                    found.append(("went_back", now, f"{job}: {finals[job]}, then {state}"))
+                if job in final_states and contradicts(final_states[job], final_at[job], state, began):
+                    found.append(("went_back", now, f"{job}: {final_states[job]}, then {state}"))
                 if state == "withdrawn":
-                    if not any(("cancel", other) in first_asked for other in {job, *before(job)}):
-                        found.append(("went_back", now, f"{job} is cancelled, by nobody"))
+                    if not any(("cancel", other) in first_asked for other in {job, *prerequisites(job)}):
+                        found.append(("went_back", now, f"{job} is cancelled without a request"))
                     if job not in cancelled:
                         cancelled[job] = now
                         overdue.append((now + cancel_s, job))
                 if (
                     state in ("queued", "running")
                     and job not in orphans
-                    and any(now > cancelled.get(other, 1e18) + cancel_s for other in before(job))
+                    and any(now > cancelled.get(other, 1e18) + cancel_s for other in prerequisites(job))
                 ):
                     orphans.add(job)
-                    found.append(("orphaned", now, f"{job} is still called {state}"))
+                    found.append(("orphaned", now, f"{job} is still reported as {state}"))
                 if state == "done" and job in jobs and completed_at is not None:
                     missing = [n for n in range(jobs[job]["pieces"]) if completed_at.get(f"{job}/{n}", 1e18) > now]
                     if missing:
-                        found.append(("not_done", now, f"{job} lacks {missing[:3]}"))
+                        found.append(("not_done", now, f"{job} is done without tasks {missing[:3]}"))
                 if state in FINAL_STATES:
-                    finals.setdefault(job, state)
-                    ended_at.setdefault(job, place)
+                    final_states.setdefault(job, state)
+                    final_at.setdefault(job, place)
     if not any(row[1] == "on" for row in log):
         found.append(("nothing_ran", log[-1][0] if log else 0.0, "no task was started"))
     return found
 
 
 def contradicted(log, by_new_only=False):
-    """Jobs that a controller called done or cancelled, and that any called something else when asked later.
+    """Return jobs that a controller reported as done or cancelled and a controller reported otherwise when asked later.
 
-    `by_new_only`: what controllers of former versions said doesn't count as said, but still as something else.
+    `by_new_only`: only final answers from the current version count; answers from any version can contradict them.
     """
     found, final, said_at = set(), {}, {}
     for place, row in enumerate(log):
         if row[1] != "told" or row[4] not in (200, 201):
             continue
         job, state, began, is_new = row[3], row[5], row[6], row[8]
-        if job in final and goes_back(final[job], said_at[job], state, began):
+        if job in final and contradicts(final[job], said_at[job], state, began):
             found.add(job)
         if state in FINAL_STATES and (is_new or not by_new_only):
             final.setdefault(job, state)
@@ -152,7 +152,7 @@
 
 
 def forgotten(log, calm_from, bound_s=75.0):
-    """Accepted jobs about which no question was answered for too long once all troubles were over."""
+    """Return accepted jobs for which all requests failed for over `bound_s` seconds once all failures had ended."""
     found, answered, told = [], {}, set()
     for row in log:
         if row[1] != "told":
@@ -167,13 +167,13 @@
 
 
 def all_breaches(world, starvation, over_at=None):
-    """Every rule and check that a world breaks; each controller is asked about each accepted job once more.
+    """Return all violations of a simulation, after asking every controller about every accepted job once more.
 
-    `over_at`: when its troubles were over, else when `beside` last saw any.
+    `over_at`: when the injected failures ended; by default when `starvation` last saw one active.
     """
     accepted = sorted({row[3] for row in world.log if row[1] == "told" and row[4] in (200, 201)})
     unknown = [
-        ("forgotten", world.now, f"{name}: {node} answers {status} after the calm")
+        ("forgotten", world.now, f"{name}: {node} answers {status} after the last failure")
         for name in accepted
         for node in world.nodes
         if (status := world.user("poll", name, node)[0]) != 200
@@ -188,7 +188,7 @@
 
 
 def starts_after_cancellation(log):
-    """Tasks that begin after their job's user was told that it is cancelled, as (task, seconds later)."""
+    """Return tasks that start after their job was reported as cancelled, as (task, seconds later)."""
     told, found = {}, []
     for row in log:
         if row[1] == "told" and row[5] == "withdrawn":
@@ -199,9 +199,9 @@
 
 
 class StarvationDetector:
-    """Jobs that wait although nothing is amiss, machines that fit have room and their team is under its limit.
+    """Detects jobs that wait although no failure is active, machines that fit are free and the team is below its limit.
 
-    Judged from the workers and the cloud themselves; `look` is to be called about once a second.
+    Uses the state of the simulated workers and cloud; `check` must be called about once a second.
     """
 
     def __init__(self, world, bound_s=90.0):
@@ -211,11 +211,11 @@
 
     def check(self):
         world = self.world
-        if world.troubled():
+        if world.has_active_failure():
             self.calm_from = world.now
             waiting = set()
         else:
-            waiting = {name for name in world.polls if self._waits_beside_room(name)}
+            waiting = {name for name in world.polls if self._is_starved(name)}
         self.since = {name: self.since.get(name, world.now) for name in waiting}
         for name, since in self.since.items():
             if world.now - since > self.bound_s:
@@ -225,7 +225,7 @@
     def breaches(self):
         return list(self.found.values())
 
-    def _waits_beside_room(self, name):
+    def _is_starved(self, name):
         world, spec = self.world, self.world.jobs[name]
         if (
             world.answers[name][1] in ("done", "withdrawn")
@@ -247,7 +247,7 @@
         ]
         gang = spec["shape"] == "group"
         if not pending or (gang and len(pending) < spec["pieces"]):
-            return False  # the rest of a gang ends first
+            return False  # the remaining tasks of a gang must end first
         needed = len(pending) if gang else 1
         if not self._under_limit(spec, needed):
             return False
@@ -258,7 +258,7 @@
         room = {}
         for worker in world.workers.values():
             if self._fits(worker, spec):
-                room[worker.zone] = room.get(worker.zone, 0) + int(min(world.room(worker, spec), needed))
+                room[worker.zone] = room.get(worker.zone, 0) + int(min(world.free_slots(worker, spec), needed))
         if spec["spread"]:
             room = {zone: min(count, (spec["pieces"] + 1) // 2 - zones.get(zone, 0)) for zone, count in room.items()}
         if spec["samePlace"]:
@@ -270,7 +270,7 @@
         return (
             world.now >= max(worker.hung_until, worker.sick_until)
             and worker.notice is None
-            and world.now - worker.began > world.lease_s  # it has just come up
+            and world.now - worker.began > world.lease_s  # not one that has only just started
             and (spec["hulls"] is None or worker.kind in spec["hulls"])
             and spec["harbor"] in (None, worker.zone)
             and (spec["driftwood"] or not worker.spot)
--- a/simulation/cloud.py
+++ b/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud, written from PROTOCOL, on a virtual clock."""
+"""A simulated cloud provider on a virtual clock, written from the protocol's specification."""
 
 from __future__ import annotations
 
@@ -8,7 +8,9 @@
 
 
 @dataclass
-class Listed:
+class CloudMachine:
+    """A rented machine as the cloud lists it; `worker` is None until it has booted."""
+
     kind: str
     zone: str
     spot: bool
@@ -30,7 +32,7 @@
 
     def add(self, kind, zone, spot, boot_s):
         name = f"vm-{len(self.machines):06d}"
-        self.machines[name] = Listed(kind, zone, spot, self.world.now, self.world.now + boot_s)
+        self.machines[name] = CloudMachine(kind, zone, spot, self.world.now, self.world.now + boot_s)
         return name
 
     def step(self):
@@ -75,18 +77,18 @@
                 ]
                 self.rented += count
             return 200, {"fleet": self.rentals[body["charter"]]}
-        then = self.world.now - self.world.list_lag_s
+        listed_at = self.world.now - self.world.list_lag_s
         rows = [
             {
                 "id": name,
                 "hull": row.kind,
                 "harbor": row.zone,
                 "driftwood": row.spot,
-                "heldS": then - row.rented,
+                "heldS": listed_at - row.rented,
                 "address": f"10.1.0.{int(name[3:])}:9000",
-                "tide": "running" if then >= row.up_at else "starting",
+                "tide": "running" if listed_at >= row.up_at else "starting",
             }
             for name, row in self.machines.items()
-            if row.rented <= then and (row.gone_at is None or row.gone_at > then)
+            if row.rented <= listed_at and (row.gone_at is None or row.gone_at > listed_at)
         ]
         return 200, {"fleet": rows, "more": False}
--- a/simulation/links.py
+++ b/simulation/links.py
@@ -1,4 +1,4 @@
-"""What a controller has instead of an HTTP client, and what cuts it off."""
+"""A simulated HTTP client for controllers, and network failures."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Link:
-    """What a controller has instead of an HTTP client."""
+    """Factory of simulated HTTP clients for one controller."""
 
     def __init__(self, world, node, version):
         self.world, self.node, self.version = world, node, version
 
-    def __call__(self, address, max_idle=4, keep=4):  # `keep` is the word of the version in production
+    def __call__(self, address, max_idle=4, keep=4):  # `keep`: the parameter's name in the version in production
         return _Client(self, address)
 
 
@@ -36,20 +36,22 @@
 
 @dataclass
 class Cut:
+    """A network cut between a controller and one side of its traffic."""
+
     node: str
     side: str  # state, workers, peers, cloud, users, or a zone's name
     until: float
-    hold: bool
+    hold: bool  # requests are delivered at the end of the cut instead of lost
     held: list = field(default_factory=list)
-    resets: bool = False  # connections that are open are reset; new ones hang, as all do otherwise
-    told: set = field(default_factory=set)  # the machines whose connections were
+    resets: bool = False  # open connections are reset, new ones hang; otherwise both hang
+    reset_machines: set = field(default_factory=set)  # the machines whose connections were reset
 
 
 @dataclass
 class Copies:
-    """Reports that are delivered a second time; a copy's answer reaches nobody."""
+    """A rule for delivering reports a second time; the responses to the copies are discarded."""
 
-    machine: str | None  # None: of all machines
+    machine: str | None  # None: all machines
     until: float  # reports sent before this are copied
     late_s: float
-    everywhere: bool  # at all controllers, not only at the one it was sent to
+    everywhere: bool  # copies go to all controllers, not only to the original recipient
--- a/simulation/state.py
+++ b/simulation/state.py
@@ -1,4 +1,4 @@
-"""The state service, written from PROTOCOL, on a virtual clock."""
+"""A simulated key-value store on a virtual clock, written from the protocol's specification."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from collections import Counter
 
 
-class StateService:
+class KeyValueStore:
     def __init__(self, world):
         self.world = world
         self.items = {}  # key -> (value, version, lease)
-        self.leases = {}  # lease -> [length, end]
+        self.leases = {}  # lease -> [duration in seconds, expiry time]
         self.revision = 0
         self.changes = []
         self.down_until = -1.0
-        self.refuses = {}  # controller -> until
+        self.refuses = {}  # controller -> until: all its requests are refused
         self.limits = {"value_kb": 8.0, "txn_ops": 12, "write_rps": 1e9}
-        self.level, self.level_at = 0.0, 0.0
-        self.refused = []  # transactions that were larger than is taken
+        self.write_tokens, self.write_tokens_at = 0.0, 0.0
+        self.refused = []  # transactions refused for exceeding the size limits
         self.next_lease = 1
-        self.stamps = []  # of `changes`, which are in their order
+        self.change_revisions = []  # the revision of each row of `changes`, in ascending order
         self.counts = Counter()  # requests, changes, conflicts, refusals
 
     def step(self):
@@ -42,17 +42,17 @@
             for key in keys:
                 self.write(key, None, None)
 
-    def changed(self, row):
+    def append_change(self, row):
         self.changes.append(row)
-        self.stamps.append(self.revision)
+        self.change_revisions.append(self.revision)
 
     def write(self, key, value, lease):
         if value is None:
             if self.items.pop(key, None) is not None:
-                self.changed({"delete": key, "stamp": self.revision})
+                self.append_change({"delete": key, "stamp": self.revision})
         else:
             self.items[key] = (value, self.revision, lease)
-            self.changed({"put": key, "v": value, "stamp": self.revision})
+            self.append_change({"put": key, "v": value, "stamp": self.revision})
 
     def call(self, node, method, path, body):
         now = self.world.now
@@ -75,7 +75,7 @@
             return 200, {}
         if path == "/changes":
             under, after = args["under"].replace("%2F", "/"), int(args["from"])
-            rows = self.changes[bisect_right(self.stamps, after) :]
+            rows = self.changes[bisect_right(self.change_revisions, after) :]
             log = [row for row in rows if (row.get("put") or row["delete"]).startswith(under)]
             return 200, {"logline": self.revision, "log": log}
         if path == "/kv":
@@ -87,14 +87,14 @@
             return 404, {"logline": self.revision}
         return 200, {"k": path[len("/kv/") :], "v": item[0], "stamp": item[1]}
 
-    def too_many(self, changes):
-        """Whether changes come faster than a second's burst and the rate allow."""
+    def exceeds_write_rate(self, changes):
+        """Whether writes exceed the rate limit, a token bucket with a burst of one second."""
         rate = self.limits["write_rps"]
-        self.level = min(rate, self.level + (self.world.now - self.level_at) * rate)
-        self.level_at = self.world.now
-        if changes > self.level:
+        self.write_tokens = min(rate, self.write_tokens + (self.world.now - self.write_tokens_at) * rate)
+        self.write_tokens_at = self.world.now
+        if changes > self.write_tokens:
             return True
-        self.level -= changes
+        self.write_tokens -= changes
         return False
 
     def transact(self, body):
@@ -106,7 +106,7 @@
         ):
             self.refused.append((self.world.now, len(body["writes"]), sizes))
             return 400, {"error": "too large"}
-        if self.too_many(len(body["writes"])):
+        if self.exceeds_write_rate(len(body["writes"])):
             self.counts["over"] += 1
             return 429, {"error": "too many changes"}
         self.counts["changes"] += len(body["writes"])
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -1,7 +1,7 @@
-"""Real controllers on a virtual clock, with stand-ins for all that is around them.
+"""Deterministic simulation: real controllers on a virtual clock, with simulated workers, users, store and cloud.
 
-One thread steps everything in turn, so the same seed gives the same log. The controllers are the real ones, without
-their threads and sockets.
+A single thread steps all components in turn, so a seed always produces the same log. The controllers run the production
+code, without its threads and sockets.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from simulation.cloud import Cloud
 from simulation.links import Link
-from simulation.state import StateService
+from simulation.state import KeyValueStore
 from simulation.versions import Version, current
 
 NEW = current()
@@ -24,6 +24,8 @@
 
 
 class World:
+    """A simulated cluster; `log` records user requests, their answers, and task starts and ends for the checker."""
+
     def __init__(
         self,
         seed,
@@ -40,17 +42,21 @@
         objectives=None,
         polls=(2.0, 2.0),
     ):
-        """`controllers`: how many, over the zones in turn (one in each); `limits`: of the state service, enforced;
-        `polls`: seconds between a user's polls for a job before and after its end."""
+        """Set up the cluster; controllers start with the first step.
+
+        `controllers`: number of controllers, assigned to the zones in turn (default: one per zone). `limits`: limits of
+        the key-value store, which it then enforces. `polls`: seconds between a user's polls of a job, before and after
+        the job has ended.
+        """
         self.random = random.Random(seed)
         self.now = 100.0
         self.log = []
         self.jobs, self.completed = {}, {}
-        self.done_tasks, self.last_done = {}, {}  # job -> how many of its tasks are done, and since when the last
+        self.done_tasks, self.last_done = {}, {}  # job -> number of done tasks, and when the last one was done
         self.kinds = {kind["name"]: kind for kind in types}
         self.zones, self.types, self.teams = zones, types, teams
         self.lease_s, self.report_s, self.cancel_s, self.list_lag_s = lease_s, report_s, cancel_s, list_lag_s
-        self.state, self.cloud = StateService(self), Cloud(self)
+        self.state, self.cloud = KeyValueStore(self), Cloud(self)
         self.workers = {}
         self.nodes = [f"n{number}" for number in range(controllers or len(zones))]
         self.limits = {"rps": 60.0, "write_rps": 15.0, "value_kb": 8.0, "txn_ops": 12, **(limits or {})}
@@ -60,41 +66,42 @@
         self.objectives = objectives or [
             {"kind": "deadline", "class": "c", "share": 0.9, "times": times} for times in (1.5, 1.0)
         ]
+        # Injected failures; `until` is the time at which one ends, `share` the probability that it affects a message.
         self.frozen = {}  # controller -> until
-        self.deaf = {}  # machine -> until: its reports arrive, answers and commands don't reach it
-        self.mute = {}  # machine -> until: commands reach it and are answered, its reports don't arrive
-        self.copies = []  # what is copied; see Copies
-        self.delayed_reports = []  # copies under way: (when, controller, report)
-        self.repeats = []  # direct commands that are repeated: (until, how late)
-        self.delayed_commands = []  # repeats under way: (when, machine, path, body)
-        self.chance = random.Random(seed + 1)  # what befalls requests; the rest of a seed's day stays as it is
-        self.late_reports = []  # (until, share): of these reports a copy comes again, up to well over a lease late
-        self.late_writes = []  # (until, share): transactions that get no answer and are carried out 2 to 12 s later
-        self.held_up = []  # (until, share): commands that are carried out, and answers that come, seconds later
-        self.delayed_transactions = []  # such transactions: (when, controller, path, body)
-        self.lost_answers = []  # (until, share): changes of the state that are carried out at once, without an answer
-        self.copies_for_next = []  # (until, share): of these reports a copy is kept until the next leader begins
-        self.retained_reports = []  # such copies
-        self.led = None  # the leader's record as of the last step
-        self.cancelled_at_end = []  # (until, share): of the jobs that end, those that are called off at that moment
-        self.cancelled_through = None  # the controller that users ask to cancel jobs; None: any
-        # until then users ask everywhere, also while requests to the state are under way
+        self.deaf = {}  # machine -> until: its reports arrive, but responses and commands don't reach it
+        self.mute = {}  # machine -> until: commands reach it and are answered, but its reports don't arrive
+        self.copies = []  # rules for duplicating reports, see Copies
+        self.delayed_reports = []  # duplicates to deliver: (when, controller, report)
+        self.repeats = []  # direct commands are delivered a second time: (until, delay in seconds)
+        self.delayed_commands = []  # direct commands to deliver: (when, machine, path, body)
+        self.failure_random = random.Random(seed + 1)  # separate, so that failures of messages don't shift other draws
+        self.late_reports = []  # (until, share): reports are delivered again, from 2 s to 1.8 leases later
+        self.late_writes = []  # (until, share): transactions time out and are executed 2 to 12 s later
+        self.held_up = []  # (until, share): commands are executed, and responses to reports arrive, seconds later
+        self.delayed_transactions = []  # requests to execute: (when, controller, path, body)
+        self.lost_answers = []  # (until, share): writes to the store are executed, but the response is lost
+        self.copies_for_next = []  # (until, share): reports are delivered again once the next leader has started
+        self.retained_reports = []  # the reports to deliver then
+        self.last_leader = None  # version of the leader's record as of the last step
+        self.cancelled_at_end = []  # (until, share): jobs are cancelled at the moment they end
+        self.cancelled_through = None  # the controller that receives cancellations; None: any
+        # Until this time users send requests to all controllers, also while requests to the store are in flight.
         self.concurrent_requests_until = -1.0
-        self.recently_changed_jobs = []  # jobs that were just accepted, ended or cancelled, the newest last
-        self.looking = False
-        self.scheduled_actions = []  # what befalls it yet: (when, action)
-        self.slow = []  # (until, share): requests to the state service whose answers come after the time-out
-        self.unread = {}  # controller -> until: its reads of changes are unanswered, all else is answered
-        self.hung_watch = {}  # controller -> until: the watch that it has open brings nothing, unnoticed
-        self.saved = {}  # task, or gang -> seconds of progress that are safe
-        self.lost = Counter()  # job -> seconds of work that were lost
-        self.starts, self.stops = Counter(), Counter()  # job -> starts executed, tasks that left without being done
+        self.recently_changed_jobs = []  # jobs just accepted, ended or cancelled, the newest last
+        self.sending_concurrent_requests = False
+        self.scheduled_actions = []  # (when, action)
+        self.slow = []  # (until, share): requests to the store time out; POSTs are executed 0.3 to 3 s later
+        self.unread = {}  # controller -> until: its reads of changes time out, other requests succeed
+        self.hung_watch = {}  # controller -> until: its open watch silently delivers no changes
+        self.saved = {}  # task -> seconds of progress saved in a checkpoint
+        self.lost = Counter()  # job -> seconds of lost work
+        self.starts, self.stops = Counter(), Counter()  # job -> task starts, and tasks stopped before they were done
         self.controllers = {}
         self.versions: dict[str, Version] = dict.fromkeys(self.nodes, NEW)
         self.next_limits = {}
-        self.back_at = dict.fromkeys(self.nodes, 0.0)
+        self.restart_at = dict.fromkeys(self.nodes, 0.0)
         self.cuts = []
-        self.pending = []  # requests of users that are repeated: (when, action, job)
+        self.pending = []  # user requests that are retried until answered: (when, action, job)
         self.polls = {}
         self.answers = {}
         self.ticks = 0
@@ -139,7 +146,7 @@
             version.knobs(),
         )
 
-    # Traffic
+    # Messages
 
     def cut_between(self, node, side, zone=None):
         return next(
@@ -157,52 +164,52 @@
             if worker is None:
                 raise version.unreachable("no such host")
             if self.now < self.deaf.get(worker.name, -1.0):
-                raise version.no_answer("nothing comes back")
+                raise version.no_answer("response lost")
             side, zone, target = "workers", worker.zone, lambda: worker.direct(method, path, body)
         if side == "state":
-            self.before_state(node, version, method, path, body)
+            self.inject_store_failure(node, version, method, path, body)
         cut = self.cut_between(node, side, zone)
         if cut is not None:
             if cut.hold and method == "POST":
-                cut.held.append(target)  # executed when the cut is over, though nobody waits any more
+                cut.held.append(target)  # executed when the cut ends, after the caller has timed out
                 raise version.no_answer("cut")
             raise version.unreachable("cut")
-        if side == "workers" and method == "POST" and self.befalls(self.held_up):
-            self.delayed_commands.append((self.now + self.chance.uniform(2.0, 12.0), worker.name, path, body))
-            raise version.no_answer("held up")
+        if side == "workers" and method == "POST" and self.should_inject(self.held_up):
+            self.delayed_commands.append((self.now + self.failure_random.uniform(2.0, 12.0), worker.name, path, body))
+            raise version.no_answer("command delayed")
         if side == "state":
             self.during_store_request(node, method, path, body, False)
         answer = target()
         if side == "state":
             self.during_store_request(node, method, path, body, True)
-            if method != "GET" and self.befalls(self.lost_answers):
-                raise version.no_answer("only the answer is lost")
+            if method != "GET" and self.should_inject(self.lost_answers):
+                raise version.no_answer("request executed, response lost")
         if answer is None:
             raise version.no_answer("hangs")
-        if side == "workers" and method == "POST":  # carried out, and not kept back by a cut
+        if side == "workers" and method == "POST":  # executed, and not held by a cut
             self.delayed_commands += [
                 (self.now + late_s, worker.name, path, body) for until, late_s in self.repeats if self.now < until
             ]
         return answer[0], json.loads(json.dumps(answer[1]))
 
-    def before_state(self, node, version, method, path, body):
-        """Troubles of requests to the state service other than cuts; raises for those without an answer."""
+    def inject_store_failure(self, node, version, method, path, body):
+        """Inject failures of requests to the key-value store other than cuts; raise if the request gets no response."""
         if path.startswith("/changes") and self.now < self.unread.get(node, -1.0):
-            raise version.no_answer("no answer to reads")
+            raise version.no_answer("reads of changes time out")
         for rows, least, most in ((self.late_writes, 2.0, 12.0), (self.slow, 0.3, 3.0)):
-            if (rows is self.slow or path == "/multi") and self.befalls(rows):
+            if (rows is self.slow or path == "/multi") and self.should_inject(rows):
                 if method == "POST":
-                    when = self.now + self.chance.uniform(least, most)
+                    when = self.now + self.failure_random.uniform(least, most)
                     self.delayed_transactions.append((when, node, path, body))
-                raise version.no_answer("no answer in time")
+                raise version.no_answer("request timed out")
 
-    def befalls(self, rows):
-        """Whether a trouble of a share of something, as (until, share), strikes this time."""
+    def should_inject(self, rows):
+        """Decide at random whether a failure, given as rows of (until, share), affects this message."""
         share = max((share for until, share in rows if self.now < until), default=0.0)
-        return share > 0.0 and self.chance.random() < share
+        return share > 0.0 and self.failure_random.random() < share
 
     def apply_delayed_transactions(self):
-        """What got no answer is carried out all the same, after newer requests; an outage keeps it until it's over."""
+        """Execute requests that timed out, after newer ones; during an outage of the store they wait until its end."""
         if self.now < self.state.down_until:
             return
         for row in [row for row in self.delayed_transactions if row[0] <= self.now]:
@@ -210,7 +217,7 @@
             self.state.call(None, "POST", row[2], row[3])
 
     def to_controller(self, machine, node, method, path, body):
-        """None: no answer."""
+        """Deliver a request to a controller; return (status, body), or None if there is no response."""
         controller = self.controllers.get(node)
         zone = self.workers[machine].zone if machine in self.workers else None
         if (
@@ -223,7 +230,7 @@
             return None
         raw = json.dumps(body).encode()
         if machine:
-            self.copy(machine, node, body)
+            self.copy_report(machine, node, body)
         try:
             reply = controller.route(method, path, lambda: raw)
         except self.versions[node].reply as thrown:
@@ -232,30 +239,30 @@
             return None
         return reply.status, json.loads(json.dumps(reply.body))
 
-    def was_reset(self, machine, node):
-        """Whether a report without an answer failed at once, for a connection that was reset."""
+    def connection_was_reset(self, machine, node):
+        """Whether an unanswered report failed at once because a cut reset its connection."""
         cut = self.cut_between(node, "workers", self.workers[machine].zone)
-        if cut is None or not cut.resets or machine in cut.told:
+        if cut is None or not cut.resets or machine in cut.reset_machines:
             return False
-        cut.told.add(machine)
+        cut.reset_machines.add(machine)
         return True
 
-    def copy(self, machine, node, report):
+    def copy_report(self, machine, node, report):
         for row in self.copies:
             if self.now < row.until and row.machine in (None, machine):
                 self.delayed_reports += [
                     (self.now + row.late_s, to, report) for to in (self.nodes if row.everywhere else [node])
                 ]
-        if self.befalls(self.copies_for_next):
+        if self.should_inject(self.copies_for_next):
             self.retained_reports.append(report)
-        if self.befalls(self.late_reports):
-            to = self.chance.choice(self.nodes)
-            self.delayed_reports.append((self.now + self.chance.uniform(2.0, 1.8 * self.lease_s), to, report))
+        if self.should_inject(self.late_reports):
+            to = self.failure_random.choice(self.nodes)
+            self.delayed_reports.append((self.now + self.failure_random.uniform(2.0, 1.8 * self.lease_s), to, report))
 
-    def deliver_copies(self):
+    def deliver_delayed_messages(self):
         leader = self.state.items.get("tidebend/live/leader")
-        if leader is not None and leader[1] != self.led:
-            self.led = leader[1]
+        if leader is not None and leader[1] != self.last_leader:
+            self.last_leader = leader[1]
             self.delayed_reports += [
                 (self.now, node, report) for report in self.retained_reports for node in self.nodes
             ]
@@ -282,7 +289,7 @@
             self.last_done[job] = self.now
             if self.done_tasks[job] == self.jobs[job]["pieces"]:
                 self.recently_changed_jobs.append(job)
-                if self.befalls(self.cancelled_at_end):
+                if self.should_inject(self.cancelled_at_end):
                     self.cancel(job)
 
     def holder(self, zone):
@@ -292,7 +299,7 @@
     def next_node(self, node):
         return self.nodes[(self.nodes.index(node) + 1) % len(self.nodes)]
 
-    def gang_is_whole(self, key, attempt):
+    def gang_is_complete(self, key, attempt):
         job = key.partition("/")[0]
         if self.jobs[job]["pieces"] == 1:
             return True
@@ -304,7 +311,7 @@
         }
         return len(there) == self.jobs[job]["pieces"]
 
-    def room(self, worker, spec):
+    def free_slots(self, worker, spec):
         kind = self.kinds[worker.kind]
         free = {part: kind[part] for part in ("vcpus", "accelerators", "memoryGb")}
         for key, task in worker.tasks.items():
@@ -318,7 +325,7 @@
 
     def user(self, action, name, node=None, body=None):
         node = node or self.random.choice(self.nodes)
-        began = len(self.log)  # what was answered before this stands in the log already
+        began = len(self.log)  # responses given before this request are at lower log indices
         if action == "submit":
             spec = body or self.jobs[name]
             answer = self.to_controller(
@@ -335,45 +342,49 @@
         status = answer[0] if answer else None
         state = answer[1].get("tide") if answer and isinstance(answer[1], dict) else None
         self.log.append((self.now, "told", action, name, status, state, began, node, self.versions[node] is NEW))
-        before = self.answers.get(name, (None, None))
-        if not self.looking:
+        previous = self.answers.get(name, (None, None))
+        if not self.sending_concurrent_requests:
             self.answers[name] = (status, state)
-        if (before[0] != status and status in (200, 201)) or (before[1] != state and state == "withdrawn"):
+        if (previous[0] != status and status in (200, 201)) or (previous[1] != state and state == "withdrawn"):
             self.recently_changed_jobs.append(name)
         return status, state
 
-    def during_store_request(self, node, method, path, body, carried_out):
-        """Called while a controller's request to the state service is under way: users ask, repeat and cancel."""
+    def during_store_request(self, node, method, path, body, executed):
+        """Let users poll, resubmit and cancel while a controller's request to the key-value store is in flight."""
         if (
             self.now < self.concurrent_requests_until
-            and not self.looking
+            and not self.sending_concurrent_requests
             and self.recently_changed_jobs
-            and self.chance.random() < 0.2
+            and self.failure_random.random() < 0.2
         ):
-            self.look(self.chance.choice(self.recently_changed_jobs[-3:]), [self.chance.choice(self.nodes)])
+            self.send_concurrent_requests(
+                self.failure_random.choice(self.recently_changed_jobs[-3:]), [self.failure_random.choice(self.nodes)]
+            )
 
-    def look(self, name, nodes):
-        self.looking = True
+    def send_concurrent_requests(self, name, nodes):
+        self.sending_concurrent_requests = True
         for node in nodes:
-            action = self.chance.choice(("poll", "poll", "poll", "submit", "submit", "cancel"))
-            if action == "cancel" and (self.chance.random() < 0.7 or self.cancelled_through not in (None, node)):
+            action = self.failure_random.choice(("poll", "poll", "poll", "submit", "submit", "cancel"))
+            if action == "cancel" and (
+                self.failure_random.random() < 0.7 or self.cancelled_through not in (None, node)
+            ):
                 action = "poll"
             if action == "cancel":
                 if name not in self.polls:
-                    continue  # users cancel what they were told is accepted
+                    continue  # users cancel only jobs that were confirmed as accepted
                 self.log.append((self.now, "asked", "cancel", name, None))
             self.user(action, name, node)
-        self.looking = False
+        self.sending_concurrent_requests = False
 
-    def look_closely(self):
-        """At all nodes, right after a job was accepted, ended or cancelled."""
+    def ask_about_recent_changes(self):
+        """Send requests to all controllers about jobs that were just accepted, ended or cancelled."""
         if self.now < self.concurrent_requests_until:
             for name in dict.fromkeys(self.recently_changed_jobs[-3:]):
-                self.look(name, self.nodes)
+                self.send_concurrent_requests(name, self.nodes)
         del self.recently_changed_jobs[:-3]
 
     def submit_unfit(self, name, status, **spec):
-        """A job that must be refused with this status: it fits no machine, or lacks a field."""
+        """Submit a job that must be rejected with this status: it fits no machine or lacks a field."""
         self.log.append((self.now, "asked", "submit", name, {"refused": status}))
         self.user("submit", name, body={"id": name, **spec})
 
@@ -382,25 +393,25 @@
         self.log.append((self.now, "asked", "submit", name, dict(self.jobs[name])))
         self.pending.append([self.now, "submit", name])
 
-    def cancel_now(self, count, hang_s=0.0, most_hang=8):
-        """Users call off jobs that run, within a fifth of a second; some of their machines hang from that moment."""
+    def cancel_now(self, count, hang_s=0.0, max_hanging=8):
+        """Cancel up to `count` running jobs within 0.2 s; up to `max_hanging` of their machines hang for `hang_s`."""
         there = {}
         for worker in self.workers.values():
             for key, task in worker.tasks.items():
                 if task.state in ("running", "waiting"):
                     there.setdefault(key.partition("/")[0], []).append(worker)
         told = {name for name in there if name in self.polls and self.answers[name][1] not in ("done", "withdrawn")}
-        names = self.chance.sample(sorted(told), min(count, len(told)))
+        names = self.failure_random.sample(sorted(told), min(count, len(told)))
         machines = sorted({worker.name for name in names for worker in there[name]})
         for name in names:
             self.cancel(name)
-            self.pending[-1][0] = self.now + self.chance.uniform(0.0, 0.2)
-        for machine in self.chance.sample(machines, min(most_hang, len(machines)) if hang_s else 0):
+            self.pending[-1][0] = self.now + self.failure_random.uniform(0.0, 0.2)
+        for machine in self.failure_random.sample(machines, min(max_hanging, len(machines)) if hang_s else 0):
             self.workers[machine].hung_until = self.now + hang_s
         return names
 
-    def troubled(self):
-        """Whether anything besides single machines isn't as it should be."""
+    def has_active_failure(self):
+        """Whether any injected failure is active, other than hanging, sick or lost machines."""
         now = self.now
         return bool(
             now
@@ -440,7 +451,7 @@
         self.log.append((self.now, "asked", "cancel", name, None))
         self.pending.append([self.now, "cancel", name])
 
-    def users(self):
+    def step_users(self):
         for row in list(self.pending):
             if self.now < row[0]:
                 continue
@@ -458,20 +469,20 @@
 
     # Controllers
 
-    def upgrade(self, node, for_s):
-        self.crash(node, for_s)
+    def upgrade(self, node, downtime_s):
+        self.crash(node, downtime_s)
         self.versions[node] = NEW
 
-    def crash(self, node, for_s):
+    def crash(self, node, downtime_s):
         self.controllers[node] = None
-        self.back_at[node] = self.now + for_s
+        self.restart_at[node] = self.now + downtime_s
 
-    def _controller(self, number, node):
+    def _step_controller(self, number, node):
         controller = self.controllers.get(node)
         if self.now < self.frozen.get(node, -1.0):
             return
         if controller is None:
-            if self.now < self.back_at[node]:
+            if self.now < self.restart_at[node]:
                 return
             version = self.versions[node]
             controller = self.controllers[node] = version.controller(self.settings(node), Link(self, node, version))
@@ -482,23 +493,23 @@
             driver.renew_lease()
         if turn % 2 == 0:
             if self.now >= self.hung_watch.get(node, -1.0):
-                self._quietly(quiet, driver.catch_up)
+                self._run_suppressed(quiet, driver.catch_up)
                 driver.note_watch(self.monotonic_now)
             driver.maintain_shards()
         if turn % 3 == 0 and driver.is_loaded:
-            self._quietly(quiet, driver.mapping_event)
+            self._run_suppressed(quiet, driver.mapping_event)
         for _ in range(20):
             if not driver.send_next_command():
                 break
         while driver.probe_next():
             pass
         if turn % 5 == 0:
-            self._tell_peers(node, driver.peer_frame())
-            self._quietly(quiet, driver.guard_machines)
+            self._send_peer_frame(node, driver.peer_frame())
+            self._run_suppressed(quiet, driver.guard_machines)
         if turn % 10 == 0:
-            self._quietly(quiet, driver.scale)
+            self._run_suppressed(quiet, driver.scale)
 
-    def _tell_peers(self, node, frame):
+    def _send_peer_frame(self, node, frame):
         for peer, other in self.controllers.items():
             if (
                 other is not None
@@ -510,13 +521,13 @@
                 self.versions[peer].driver(other).receive_peer_frame(json.loads(json.dumps(frame)))
 
     def hang_watch(self, node):
-        """The watch that a controller has open brings nothing from now on, for as long as the controller waits."""
+        """Make a controller's open watch deliver nothing until the controller's own time-out for it expires."""
         controller = self.controllers.get(node)
         if controller is not None:
             self.hung_watch[node] = self.now + self.versions[node].driver(controller).hung_watch_s
 
     @staticmethod
-    def _quietly(quiet, step):
+    def _run_suppressed(quiet, step):
         with contextlib.suppress(*quiet):
             step()
 
@@ -527,27 +538,28 @@
         for cut in [cut for cut in self.cuts if cut.until <= self.now]:
             self.cuts.remove(cut)
             for request in cut.held:
-                request()  # delivered late, in order
+                request()  # delivered late, in the order sent
         for row in [row for row in self.scheduled_actions if row[0] <= self.now]:
             self.scheduled_actions.remove(row)
             row[1]()
-        self.deliver_copies()
+        self.deliver_delayed_messages()
         self.apply_delayed_transactions()
         self.state.step()
         self.cloud.step()
         for number, node in enumerate(self.nodes):
-            self._controller(number, node)
+            self._step_controller(number, node)
         for worker in list(self.workers.values()):
             if worker.name in self.workers:
                 worker.step()
-        self.users()
-        self.look_closely()
+        self.step_users()
+        self.ask_about_recent_changes()
 
     def sleep(self, seconds):
-        self.monotonic_now += seconds  # a part waits: only the steady clock moves on; the world catches up with it
+        # Only the monotonic clock advances while a component sleeps; `now` catches up in later steps.
+        self.monotonic_now += seconds
 
     def clock(self):
-        """Patches for the time module while the world runs."""
+        """Patch the time module to the virtual clocks while the simulation runs."""
         return mock.patch.multiple(
             "time", monotonic=lambda: self.monotonic_now, time=lambda: 1e9 + self.now, sleep=self.sleep
         )
