--- a/simulation/model.py
+++ b/simulation/model.py
@@ -1,7 +1,9 @@
-"""Every order of claims, ends, returned shares, handed-over blocks, lost answers and late transactions, when small.
+"""Model checker for quotas: explores every interleaving of a small system.
 
-What changes records is the service's own code (`service.shares`, `tenancy`); around it stand a store, caches that may
-be old, and holders that believe what they last read. Breadth first, so that a shortest way to a breach is shown.
+The steps are claims, task ends, releases of unused quota, moves of shards, lost responses and delayed transactions. The
+production code (`QuotaRebalancer`, `UsageIndex`) makes all changes of quota records; the model supplies the key-value
+store, caches that may be stale, and shard holders that act on what they last read. The search is breadth-first, so a
+reported violation has a shortest trace.
 """
 
 from __future__ import annotations
@@ -19,11 +21,12 @@
 
 TEAM = "t"
 FAULTS = ("none", "no_fence", "no_compare", "no_doubts", "credit_first")
-# what may become of a transaction: answered; executed or not, without an answer; or executed later, or never
+# Outcomes of a transaction: answered; processed, but the response is lost; delayed, and processed at any later time or
+# never; not executed.
 OUTCOMES = ("answered", "lost", "late", "refused")
 
 Item = tuple[Any, int]  # value and version
-Choose = Callable[[int], int]  # one of so many
+Choose = Callable[[int], int]  # returns one of `range(options)`
 Pending = tuple[tuple, tuple]  # conditions and writes
 
 
@@ -31,19 +34,19 @@
 class Size:
     zones: int = 2
     holders: int = 3
-    jobs: int = 2  # in each zone
+    jobs: int = 2  # per zone
     limit: float = 2.0
-    moves: int = 1  # of blocks
-    late: int = 1  # transactions under way at a time
+    moves: int = 1  # of shards to another holder
+    late: int = 1  # delayed transactions at a time
 
 
 @dataclass(frozen=True)
 class State:
-    """All that there is; versions count only by which of them are equal and which later."""
+    """A state of the whole system; only the order of versions matters, see `Model.canonical`."""
 
     items: tuple[tuple[str, Any, int], ...]
     caches: tuple[tuple[tuple[str, Any, int], ...], ...]
-    doubts: tuple[bool, ...]
+    uncertain: tuple[bool, ...]
     pending: tuple[Pending, ...] = ()
     moved: int = 0
 
@@ -52,7 +55,7 @@
 class Found:
     states: int = 0
     depth: int = 0
-    complete: bool = True  # False: bounded before everything was seen
+    complete: bool = True  # False: a bound was reached before all states were visited
     breach: str = ""
     way: list[str] = field(default_factory=list)
 
@@ -66,23 +69,23 @@
 
 
 class _Choices:
-    """Replays a run's choices and asks for the next one by trying the first; `rest` has the others."""
+    """Replays the given choices and takes the first option of each later one; `alternatives` collects the others."""
 
     def __init__(self, made: list[int]) -> None:
         self.made = list(made)
-        self.at = 0
-        self.rest: list[list[int]] = []
+        self.position = 0
+        self.alternatives: list[list[int]] = []
 
     def __call__(self, options: int) -> int:
-        if self.at == len(self.made):
-            self.rest += [[*self.made, other] for other in range(1, options)]
+        if self.position == len(self.made):
+            self.alternatives += [[*self.made, other] for other in range(1, options)]
             self.made.append(0)
-        self.at += 1
-        return self.made[self.at - 1]
+        self.position += 1
+        return self.made[self.position - 1]
 
 
 class _Holder:
-    """One controller as the service's code sees it: mirror, book, and the zones that it believes are its own."""
+    """One shard holder, with the interfaces that the quota code uses: watch cache, usage index and held shards."""
 
     def __init__(self, model: Model, number: int, state: State, choose: Choose) -> None:
         self.model, self.number, self.choose = model, number, choose
@@ -91,56 +94,56 @@
         self.pending = list(state.pending)
         self.client = SimpleNamespace(timeout=1.0)
         settings = SimpleNamespace(teams={TEAM: model.team}, zones=model.zones)
-        self.shares = QuotaRebalancer(settings, self, self, SimpleNamespace(supports_pipelines=True), self.held)
-        if state.doubts[number]:
-            self.shares.mark_uncertain({TEAM})
+        self.rebalancer = QuotaRebalancer(settings, self, self, SimpleNamespace(supports_pipelines=True), self.held)
+        if state.uncertain[number]:
+            self.rebalancer.mark_uncertain({TEAM})
 
-    # the book
+    # Usage index
 
-    def _accounts(self) -> UsageIndex:
-        accounts = UsageIndex()
+    def _usage(self) -> UsageIndex:
+        usage = UsageIndex()
         for key, (value, version) in self.cache.items():
             if key == QUOTA_PREFIX + TEAM:
-                accounts.on_change(key, _quota(value), version)
+                usage.on_change(key, _quota(value), version)
             elif key.startswith("job/"):
-                accounts.count_allocated(SimpleNamespace(team=TEAM, cpus=1.0, gpus=0.0), key.split("/")[1], value)
-        return accounts
+                usage.count_allocated(SimpleNamespace(team=TEAM, cpus=1.0, gpus=0.0), key.split("/")[1], value)
+        return usage
 
     def used(self, team: str, zones: Any = None) -> tuple[float, float]:
-        cpus, gpus = self._accounts().used(team, zones)
-        # a planted fault: what is about to end counts as free before its end is recorded
+        cpus, gpus = self._usage().used(team, zones)
+        # Injected fault: a task about to end counts as free before its end is recorded.
         return (max(0.0, cpus - 1.0) if self.model.fault == "credit_first" else cpus), gpus
 
     def team(self, team: str, zones: Any = ()) -> Any:
-        return self._accounts().team(team, zones)
+        return self._usage().team(team, zones)
 
     def held(self) -> dict[str, tuple[str, int]]:
         shards = {zone: self.cache[f"block/{zone}"] for zone in self.model.zones}
         return {zone: (f"block/{zone}", version) for zone, (holder, version) in shards.items() if holder == self.number}
 
-    # the mirror
+    # Watch cache
 
     def write(self, conditions: dict[str, int], writes: list, retry_for_s: float = 0.0) -> int:
-        """As `WatchCache.write`, with each outcome that the state service may have."""
+        """Act as `WatchCache.write`, with every outcome that a request to the key-value store may have."""
         fault = self.model.fault
         if fault == "no_fence":
             conditions = {key: version for key, version in conditions.items() if not key.startswith("block/")}
         if fault == "no_compare" and all(key != QUOTA_PREFIX + TEAM for key, _, _ in writes):
             conditions = {key: version for key, version in conditions.items() if key != QUOTA_PREFIX + TEAM}
-        plain = (tuple(sorted(conditions.items())), tuple((key, _frozen(value)) for key, value, _ in writes))
+        transaction = (tuple(sorted(conditions.items())), tuple((key, _frozen(value)) for key, value, _ in writes))
         late = len(self.pending) < self.model.size.late
         outcome = OUTCOMES[self.choose(4)]
         if outcome == "refused" or (outcome == "late" and not late):
             raise NotExecutedError("refused")
         if outcome == "late":
-            self.pending.append(plain)
-            raise OutcomeUnknownError("no answer, and not executed yet")
-        applied = apply(self.items, plain)
+            self.pending.append(transaction)
+            raise OutcomeUnknownError("no response, not executed yet")
+        applied = apply(self.items, transaction)
         if outcome == "lost":
-            raise OutcomeUnknownError("no answer")
+            raise OutcomeUnknownError("no response")
         if not applied:
-            raise ConflictError([key for key, version in plain[0] if self.items[key][1] != version])
-        self.cache.update((key, self.items[key]) for key, _ in plain[1])
+            raise ConflictError([key for key, version in transaction[0] if self.items[key][1] != version])
+        self.cache.update((key, self.items[key]) for key, _ in transaction[1])
         return 0
 
     def barrier(self, timeout: float, kind: str) -> bool:
@@ -152,11 +155,11 @@
     def get(self, key: str) -> Item:
         return self.cache.get(key, (None, 0))
 
-    # what a holder does
+    # Steps of a holder
 
     def claim(self, zone: str, key: str) -> None:
         if self.model.fault != "no_doubts":
-            self.shares.settle_uncertain_writes(0.0)
+            self.rebalancer.settle_uncertain_writes(0.0)
         held = self.held()
         if zone not in held:
             return
@@ -164,7 +167,7 @@
         usage = self.team(TEAM, held)
         if not self.model.team.allows(usage.cpus + 1.0, usage.gpus):
             return
-        made = self.shares.change_for_allocation(
+        made = self.rebalancer.change_for_allocation(
             TEAM, usage.zone_quotas, already_added={}, already_written=None, added={zone: (1.0, 0.0)}, held_zones=held
         )
         if made is None:
@@ -172,7 +175,7 @@
         try:
             self.write({key: version, **made.conditions, **dict([held[zone]])}, [(key, value + 1, None), *made.writes])
         except OutcomeUnknownError:
-            self.shares.mark_uncertain({TEAM})
+            self.rebalancer.mark_uncertain({TEAM})
 
     def end(self, zone: str, key: str) -> None:
         held = self.held()
@@ -180,8 +183,8 @@
         if zone in held and value:
             self.write({key: version, **dict([held[zone]])}, [(key, value - 1, None)])
 
-    def release_shares(self) -> None:
-        self.shares.release_unused(TEAM)
+    def release_unused_quota(self) -> None:
+        self.rebalancer.release_unused(TEAM)
 
 
 def apply(items: dict[str, Item], transaction: Pending) -> bool:
@@ -200,7 +203,7 @@
         self.jobs = [(zone, f"job/{zone}/{number}") for zone in self.zones for number in range(size.jobs)]
         self.team = Team(TEAM, 0.0, 0.0, size.limit, None)
 
-    def first(self) -> State:
+    def initial_state(self) -> State:
         items = {QUOTA_PREFIX + TEAM: (_frozen({zone: [0.0, 0.0] for zone in self.zones}), 1)}
         items.update((key, (0, 1)) for _, key in self.jobs)
         items.update((f"block/{zone}", (number % self.size.holders, 1)) for number, zone in enumerate(self.zones))
@@ -212,7 +215,7 @@
         return tuple((key, value, version) for key, (value, version) in sorted(items.items()))
 
     def moves(self, state: State) -> Iterator[tuple[str, Callable[[Choose], tuple[str, State]]]]:
-        """What may happen next; each is run with somebody who chooses among its outcomes."""
+        """Yield the possible next steps; each is run with a function that chooses among its outcomes."""
         for number in range(self.size.holders):
             believed = {key for key, value, _ in state.caches[number] if key.startswith("block/") and value == number}
             for zone, key in self.jobs:
@@ -220,7 +223,7 @@
                     yield self._act(state, number, f"claims {key}", lambda h, z=zone, k=key: h.claim(z, k))
                     yield self._act(state, number, f"records an end of {key}", lambda h, z=zone, k=key: h.end(z, k))
             if believed:
-                yield self._act(state, number, "gives back", _Holder.release_shares)
+                yield self._act(state, number, "releases unused quota", _Holder.release_unused_quota)
             if state.caches[number] != state.items:
                 yield self._act(state, number, "reads", lambda h: h.cache.update(h.items))
         for number, transaction in enumerate(state.pending):
@@ -240,10 +243,10 @@
                 act(holder)
             except (ConflictError, NotExecutedError, OutcomeUnknownError) as error:
                 text += f" ({type(error).__name__}: {error})"
-            caches, doubts = list(state.caches), list(state.doubts)
-            caches[number], doubts[number] = self._rows(holder.cache), bool(holder.shares._uncertain_teams)
+            caches, uncertain = list(state.caches), list(state.uncertain)
+            caches[number], uncertain[number] = self._rows(holder.cache), bool(holder.rebalancer._uncertain_teams)
             return text, self.canonical(
-                State(self._rows(holder.items), tuple(caches), tuple(doubts), tuple(holder.pending), state.moved)
+                State(self._rows(holder.items), tuple(caches), tuple(uncertain), tuple(holder.pending), state.moved)
             )
 
         return what, run
@@ -251,41 +254,41 @@
     def _late(self, state: State, transaction: Pending, rest: tuple[Pending, ...]) -> tuple[str, State]:
         items = {key: (value, version) for key, value, version in state.items}
         done = apply(items, transaction)
-        return f"a transaction arrives late, {'executed' if done else 'refused'}", self.canonical(
+        return f"a delayed transaction arrives, {'executed' if done else 'refused'}", self.canonical(
             replace(state, items=self._rows(items), pending=rest)
         )
 
     def _move(self, state: State, zone: str, number: int) -> tuple[str, State]:
         items = {key: (value, version) for key, value, version in state.items}
         apply(items, ((), ((f"block/{zone}", number),)))
-        return f"block {zone} goes to holder {number}", self.canonical(
+        return f"shard {zone} moves to holder {number}", self.canonical(
             replace(state, items=self._rows(items), moved=state.moved + 1)
         )
 
-    def after(self, state: State) -> Iterator[tuple[str, State]]:
-        """Every next state, with what leads to it."""
+    def successors(self, state: State) -> Iterator[tuple[str, State]]:
+        """Yield every next state with a description of the step that leads to it."""
         for _, run in self.moves(state):
             left: list[list[int]] = [[]]
             while left:
                 choose = _Choices(left.pop())
                 yield run(choose)
-                left += choose.rest
+                left += choose.alternatives
 
     def breach(self, state: State) -> str:
-        """The invariant: claims in a zone lie within its share, and shares together within the limit."""
+        """Check the invariant: claims in a zone are within its quota, and the quotas add up to at most the limit."""
         values = {key: value for key, value, _ in state.items}
-        shares = _quota(values[QUOTA_PREFIX + TEAM])
+        quotas = _quota(values[QUOTA_PREFIX + TEAM])
         used = {zone: sum(values[key] for where, key in self.jobs if where == zone) for zone in self.zones}
         if sum(used.values()) > self.size.limit + 1e-6:
             return f"{sum(used.values())} in use of {self.size.limit}"
-        if sum(row[0] for row in shares.values()) > self.size.limit + 1e-6:
-            return f"shares {shares} of {self.size.limit}"
-        over = [zone for zone in self.zones if used[zone] > shares[zone][0] + 1e-6]
-        return f"{used} in use with shares {shares}" if over else ""
+        if sum(row[0] for row in quotas.values()) > self.size.limit + 1e-6:
+            return f"zone quotas {quotas} of {self.size.limit}"
+        over = [zone for zone in self.zones if used[zone] > quotas[zone][0] + 1e-6]
+        return f"{used} in use with zone quotas {quotas}" if over else ""
 
     @staticmethod
     def canonical(state: State) -> State:
-        """Equal but for the numbers of versions: only their order matters."""
+        """Renumber versions by rank, so that states that differ only in version numbers are equal."""
         versions = {version for rows in (state.items, *state.caches) for _, _, version in rows}
         versions |= {version for conditions, _ in state.pending for _, version in conditions}
         rank = {version: number for number, version in enumerate(sorted(versions), 1)}
@@ -296,7 +299,7 @@
         pending = tuple(
             (tuple((key, rank[version]) for key, version in conditions), writes) for conditions, writes in state.pending
         )
-        return State(rows(state.items), tuple(map(rows, state.caches)), state.doubts, pending, state.moved)
+        return State(rows(state.items), tuple(map(rows, state.caches)), state.uncertain, pending, state.moved)
 
 
 def explore(
@@ -306,10 +309,10 @@
     depth: int = 1000,
     progress: Callable[[int, int], None] = lambda states, depth: None,
 ) -> Found:
-    """Visit at most `most` states, no deeper than `depth` steps; the first breach ends it."""
+    """Visit at most `most` states within `depth` steps; stop at the first violation."""
     model, found = Model(size, fault), Found()
-    begin = model.canonical(model.first())
-    came: dict[State, tuple[State | None, str]] = {begin: (None, "")}
+    begin = model.canonical(model.initial_state())
+    predecessors: dict[State, tuple[State | None, str]] = {begin: (None, "")}
     left = deque([(begin, 0)])
     while left:
         state, at = left.popleft()
@@ -318,19 +321,19 @@
         if at == depth:
             found.complete = False
             continue
-        for text, after in model.after(state):
-            if after in came:
+        for text, after in model.successors(state):
+            if after in predecessors:
                 continue
-            came[after] = (state, text)
+            predecessors[after] = (state, text)
             found.breach = model.breach(after)
             if found.breach:
                 step: State | None = after
                 while step is not None:
-                    step, text = came[step]
+                    step, text = predecessors[step]
                     found.way.insert(0, text)
                 found.way, found.depth = found.way[1:], at + 1
                 return found
-            if len(came) < most:
+            if len(predecessors) < most:
                 left.append((after, at + 1))
             else:
                 found.complete = False
@@ -338,9 +341,9 @@
 
 
 def walk(size: Size, pick: Choose, steps: int, fault: str = "none") -> tuple[str, list[str]]:
-    """One way through a model too large to see whole, as `pick` chooses: the breach, if any, and the way to it."""
+    """Follow one trace, chosen by `pick`, through a model too large to explore; return (violation or "", trace)."""
     model = Model(size, fault)
-    state, way = model.canonical(model.first()), []
+    state, way = model.canonical(model.initial_state()), []
     for _ in range(steps):
         moves = list(model.moves(state))
         text, state = moves[pick(len(moves))][1](pick)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""Moves of shares in every order when small, and along chosen ways at a larger size; planted faults are found."""
+"""Model checker for quotas: bounded exploration of a small system, random traces of a larger one, injected faults."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 def test_every_order_keeps_shares_within_the_limit_and_claims_within_shares():
     found = explore(Size(zones=2, holders=2), most=500)
-    assert (found.states, found.breach) == (499, "")  # bounded here; `python3 -m simulation model` goes on
+    assert (found.states, found.breach) == (499, "")  # `python3 -m simulation model` explores further
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None, suppress_health_check=[HealthCheck.too_slow])
