--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A laboratory: the real controllers on virtual time, with the rules checked. Not imported by the service."""
+"""Deterministic simulation of real controllers on virtual time, with invariant checks. Not imported by tidebend."""
--- a/simulation/drivers.py
+++ b/simulation/drivers.py
@@ -1,4 +1,4 @@
-"""Steps a controller of today's version without its threads."""
+"""Runs the periodic work of a controller of the current version without its threads."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ControllerDriver:
-    """Steps a controller of today's version; stateless, so that it may be made anew for each step."""
+    """Runs the periodic work of a controller of the current version; stateless, so each step can make a new one."""
 
     def __init__(self, controller: Any) -> None:
         self.controller = controller
@@ -19,60 +19,60 @@
 
     @property
     def is_loaded(self) -> bool:
-        """Whether the cache has been read once."""
+        """Whether the cache has completed its first read."""
         return self._cache.loaded.is_set()
 
     @property
     def hung_watch_s(self) -> float:
-        """How long a watch that brings nothing goes unnoticed."""
+        """Seconds until the controller notices that an open watch delivers nothing."""
         return self._cache.watch_s + self.controller.state.timeout
 
     def renew_lease(self) -> None:
-        """Grant or renew the controller's lease at the key-value store."""
+        """Acquire or renew the controller's lease in the key-value store."""
         self.controller.coordinator.renew_lease()
 
     def catch_up(self) -> None:
-        """Read what has changed at the key-value store."""
+        """Read the changes since the last read from the key-value store."""
         self._cache.catch_up(0.0, "claim")
 
     def note_watch(self, steady: float) -> None:
-        """Say that the watch has brought an answer at a time of the steady clock."""
+        """Record the monotonic time at which the watch last got a response."""
         self._cache.watched = steady
 
     def maintain_shards(self) -> None:
-        """Lead, and take over and give up shards."""
+        """Do the leader's work if this controller leads, and acquire and release shards."""
         self.controller.coordinator.maintain_shards()
 
     def mapping_event(self) -> None:
-        """Place waiting tasks."""
+        """Allocate machines to waiting tasks."""
         self.controller.scheduling_loop.mapping_event()
 
     def send_next_command(self) -> bool:
-        """Send direct commands to one machine; False if none wait."""
+        """Send direct commands to one machine; return False if there are none to send."""
         return self.controller.command_dispatcher.send_next()
 
     def probe_next(self) -> bool:
-        """Ask one machine whether it can be reached; False if none is to be asked."""
+        """Probe whether one machine is reachable; return False if there is none to probe."""
         return self.controller.zone_probe.probe_next()
 
     def peer_frame(self) -> Any:
-        """What the controller tells its peers."""
+        """Return the controller's next message to its peers."""
         return self.controller.peer_frame()
 
     def receive_peer_frame(self, frame: Any) -> None:
-        """Take over what a peer tells."""
+        """Process a peer's message."""
         self.controller.peer_exchange.receive(frame)
 
     def guard_machines(self) -> None:
-        """Look at the controller's own machines once, as each holder of a shard does."""
+        """Check the machines of the controller's own shards once, as every shard holder does."""
         self.controller.autoscaler.check_machines_once()
 
     def scale(self) -> None:
-        """List, rent and return machines once, as the leader does."""
+        """List, rent and release machines once, as the leader does."""
         self.controller.autoscaler.scale_once()
 
     def read_in_place(self, quiet: tuple[type[Exception], ...]) -> None:
-        """Have read barriers read at once, without the thread that does it otherwise."""
+        """Make read barriers read synchronously instead of waiting for the cache's thread."""
         cache = self._cache
 
         def barrier(timeout: float, kind: str = "poll") -> bool:
--- a/simulation/experiment.py
+++ b/simulation/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: HCL files that say what cluster, teams, jobs and troubles there are, checked as settings are."""
+"""Experiments: HCL files that describe the cluster, teams, jobs and failures to simulate, validated like settings."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 class Cluster(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     zones: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3
-    controllers: Annotated[int, msgspec.Meta(ge=0, le=64)] = 0  # 0: one a zone
+    controllers: Annotated[int, msgspec.Meta(ge=0, le=64)] = 0  # 0: one per zone
     seconds: Positive = 240.0
     report_s: Positive = 2.5
     lease_s: Positive = 15.0
@@ -25,7 +25,7 @@
 
 
 class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the state service takes; changes beyond `write_rps` are refused."""
+    """Limits of the key-value store; writes beyond `write_rps` are refused."""
 
     rps: Positive = 250.0
     write_rps: Positive = 60.0
@@ -34,7 +34,7 @@
 
 
 class Kind(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A type of machine: `at_start` are up from the beginning, `most` is all that the cloud has, over all zones."""
+    """A machine type: `at_start` machines run from the start, `most` is the cloud's capacity over all zones."""
 
     cpus: Positive
     memory_gb: Positive
@@ -49,7 +49,7 @@
 
 
 class TeamBlock(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`count` teams alike, named LABEL-0 and so on; one is named LABEL. A limit of 0 is none."""
+    """`count` identical teams named LABEL-0, LABEL-1, ..., or LABEL if there is one. A limit of 0 means unlimited."""
 
     guaranteed: Amount = 0.0
     limit: Amount = 0.0
@@ -59,10 +59,10 @@
 
 
 class Jobs(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A class of jobs. Arrivals are random in time, tasks and run times spread around their means."""
+    """A class of jobs. Arrivals are a Poisson process; run times are lognormal around `run_s`."""
 
-    teams: Annotated[list[str], msgspec.Meta(min_length=1)]  # labels; each job is of one of their teams at random
-    tasks: Annotated[list[Count], msgspec.Meta(min_length=1)]  # one of these at random
+    teams: Annotated[list[str], msgspec.Meta(min_length=1)]  # labels; each job belongs to a random one of their teams
+    tasks: Annotated[list[Count], msgspec.Meta(min_length=1)]  # number of tasks, a random one of these
     kind: Literal["array", "gang", "service"] = "array"
     priority: Literal["low", "normal", "high", "production"] = "normal"
     per_minute: Amount = 1.0
@@ -73,7 +73,7 @@
     gpus: Amount = 0.0
     memory_gb: Positive = 1.0
     run_s: Positive = 30.0
-    wrong_by: Amount = 0.3  # sigma of the logarithm of run time over estimate
+    wrong_by: Amount = 0.3  # standard deviation of log(estimate / run time)
     image_gb: Amount = 1.0
     images: Count = 4
     deadline_s: Amount = 0.0
@@ -85,7 +85,7 @@
 
 
 class Trouble(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`node` and `zone` are numbers, counted from 0; `node` -1 is all of them."""
+    """An injected failure. `node` and `zone` are indices from 0; `node` -1 means all controllers."""
 
     at: Amount
     what: Literal["crash", "freeze", "cut", "refuse", "outage", "limits", "machines", "zone", "roll"]
@@ -94,7 +94,9 @@
     zone: int = 0
     side: Literal["all", "state", "workers", "peers", "cloud", "users"] = "all"
     hold: bool = False  # messages are delivered late instead of lost
-    share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 1.0  # limits: of the changes; machines: that stop
+    share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
+        1.0  # for `limits`: factor on `write_rps`; for `machines`: share that stops
+    )
 
 
 class Experiment(msgspec.Struct, frozen=True):
@@ -112,7 +114,7 @@
 
 
 def _set(values: dict[str, Any], path: str, text: str) -> None:
-    """One `block.field=value` or `block.label.field=value` over what the file says."""
+    """Override one value of the file, given as `block.field` or `block.label.field`."""
     block, *rest = path.split(".")
     rows = values.setdefault(block, [{}])
     if len(rest) == 2:
@@ -125,7 +127,7 @@
 
 
 def read(path: str, changes: dict[str, str] | None = None) -> Experiment:
-    """Raises HclFileError."""
+    """Read and validate an experiment file, with overrides by path. Raises HclFileError."""
     file = HclFile(path)
     file.reject_unknown("cluster", "state", "type", "team", "jobs", "trouble")
     for where, text in (changes or {}).items():
--- a/simulation/former_driver.py
+++ b/simulation/former_driver.py
@@ -1,6 +1,6 @@
-"""Steps a controller of a version that has the former names, such as the one in production.
+"""Runs the periodic work of a controller of a version with the former names, such as the one in production.
 
-The names here are those of the history and stay as they are, whatever today's code calls the same things.
+The names here are those of that version and must not follow renames in the current code.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 def former_controller() -> Any:
-    """The package of the controller; to be called while that version can be imported."""
+    """Return the controller's package; call this while that version is on the import path."""
     return importlib.import_module("tidebend.service")
 
 
 def former_failures() -> tuple[type[Exception], ...]:
-    """What a request to the key-value store may raise: not executed, or its outcome is unknown."""
+    """Return the errors of requests to the key-value store: not executed, and outcome unknown."""
     storage = importlib.import_module("tidebend.storage")
     return storage.Unavailable, storage.Unknown
 
 
 class FormerControllerDriver(ControllerDriver):
-    """Steps a controller of a version that has the former names, such as the one in production."""
+    """Runs the periodic work of a controller of a version with the former names."""
 
     @property
     def _cache(self) -> Any:
--- a/simulation/play.py
+++ b/simulation/play.py
@@ -1,4 +1,4 @@
-"""Plays an experiment: builds its world, submits its jobs, sets its troubles off, and reports."""
+"""Runs an experiment: builds the cluster, submits jobs, injects failures and returns the report."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _arrivals(experiment: Experiment, chance: random.Random) -> list[tuple[float, str, dict]]:
-    """(seconds from the beginning, class, job) in their order."""
+    """Return the jobs as (seconds from the start, class, job), ordered by time."""
     found = []
     for label, jobs in experiment.jobs.items():
         teams = [name for team in jobs.teams for name in experiment.team_names(team)]
@@ -128,7 +128,7 @@
 
 
 def cut_zone(world: World, zone: str, seconds: float, hold: bool) -> None:
-    """Nothing gets into a zone or out of it; inside it goes on."""
+    """Cut all traffic into and out of a zone; traffic within it continues."""
     until = world.now + seconds
     for node in world.nodes:
         if world.zone_of(node) != zone:
@@ -163,7 +163,7 @@
             world.workers.pop(name).lose_all()
     elif trouble.what == "zone":
         cut_zone(world, zone, trouble.seconds, trouble.hold)
-    else:  # a roll: one controller after the other, each away for `seconds`
+    else:  # a rolling restart: the controllers restart one after another, each down for `seconds`
         for number in range(len(world.nodes)):
             later(
                 world.now + 2.5 * number * trouble.seconds,
@@ -177,8 +177,8 @@
     version: Version | None = None,
     progress: Callable[[float], None] = lambda share: None,
 ) -> dict:
-    """The report of one play; `version` None: the code at hand."""
-    random.seed(seed)  # what the controllers draw
+    """Run an experiment once and return its report; `version` None means the working tree."""
+    random.seed(seed)  # the controllers draw from the global generator
     chance = random.Random(seed + 1)
     world = build(experiment, seed, version or current())
     jobs = _arrivals(experiment, chance)
--- a/simulation/plays.py
+++ b/simulation/plays.py
@@ -1,4 +1,4 @@
-"""Several plays at a time, each in a process of its own."""
+"""Runs experiments in parallel, each in its own process."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def one(path: str, changes: dict[str, str], seed: int, source: str | None) -> dict:
-    """One play; `source` None is the code at hand."""
+    """Run one experiment; `source` is a commit, or None for the working tree."""
     version = version_at(source) if source else None
     return {"source": source or "at hand", "set": changes, **play(read(path, changes), seed, version)}
 
 
 def play_all(plays: list[tuple[str, dict[str, str], int, str | None]], workers: int, quiet: bool) -> list[dict]:
-    """The reports in the order of `plays`, each (experiment, changes, seed, source)."""
+    """Run `plays`, rows of (experiment path, changes, seed, source), and return their reports in the same order."""
     console = Console(stderr=True, quiet=quiet)
     results: dict[int, dict] = {}
-    # spawned, and ended after one: a play patches the clock and replaces modules, and no other may see that
+    # Each experiment gets a spawned process of its own, because it patches the clock and replaces modules.
     with (
         ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool,
         Progress(console=console) as bar,
--- a/simulation/versions.py
+++ b/simulation/versions.py
@@ -1,4 +1,4 @@
-"""Versions of the package from the repository's history, to run beside each other."""
+"""Loads versions of the package from the repository's history, to run several in one process."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @dataclass(frozen=True)
 class Version:
-    """What the simulated world needs of a version of the package."""
+    """The classes and functions that the simulation uses from one version of the package."""
 
     controller: Any
     settings: Any
     knobs: Any
     unreachable: type[Exception]
     no_answer: type[Exception]
-    quiet: tuple[type[Exception], ...]
+    quiet: tuple[type[Exception], ...]  # errors that a controller's own loops catch
     reply: Any
-    driver: type[ControllerDriver]  # what steps a controller of this version
+    driver: type[ControllerDriver]  # runs controllers of this version
 
 
 def _loaded() -> dict[str, Any]:
@@ -39,7 +39,7 @@
 
 
 def current() -> Version:
-    """The version that can be imported now, whichever names it has: today's or those of the version in production."""
+    """Return the version on the import path, with either the current names or those of the version in production."""
     parts = {name: importlib.import_module(f"tidebend.{name}") for name in ("settings", "transport", "protocol")}
     if importlib.util.find_spec("tidebend.controller") is not None:
         driver: type[ControllerDriver] = ControllerDriver
@@ -66,26 +66,26 @@
 
 
 def production() -> Version | None:
-    """None without the history that it is read from."""
+    """Return the version in production; None if its commit isn't in the local history."""
     with open(ROOT / "deploy" / "service.toml", "rb") as source:
         return at(tomllib.load(source)["production"])
 
 
 class VersionNotFoundError(Exception):
-    """A commit isn't in the history at hand."""
+    """A commit isn't in the local history."""
 
 
 def version_at(commit: str) -> Version:
-    """The package as it was at a commit. Raises VersionNotFoundError."""
+    """Return the package as it was at a commit. Raises VersionNotFoundError."""
     version = at(commit)
     if version is None:
-        raise VersionNotFoundError(f"no commit {commit} in the history at hand")
+        raise VersionNotFoundError(f"no commit {commit} in the local history")
     return version
 
 
 @cache
 def at(commit: str) -> Version | None:
-    """The package as it was at a commit; None where the history at hand doesn't have it."""
+    """Return the package as it was at a commit; None if the local history doesn't have it."""
     done = subprocess.run(["git", "-C", str(ROOT), "archive", commit, "tidebend"], capture_output=True, check=False)
     if done.returncode:
         return None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: what it refuses, that a seed repeats a play, and that its figures see what happened."""
+"""Simulated experiments: rejection of invalid files, determinism per seed, and the figures of the report."""
 
 import json
 from pathlib import Path
