--- a/simulation/experiment.py
+++ b/simulation/experiment.py
@@ -94,9 +94,7 @@
     zone: int = 0
     side: Literal["all", "state", "workers", "peers", "cloud", "users"] = "all"
     hold: bool = False  # messages are delivered late instead of lost
-    share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = (
-        1.0  # for `limits`: factor on `write_rps`; for `machines`: share that stops
-    )
+    share: Annotated[float, msgspec.Meta(ge=0.0, le=1.0)] = 1.0  # limits: of `write_rps`; machines: share that stops
 
 
 class Experiment(msgspec.Struct, frozen=True):
--- a/simulation/links.py
+++ b/simulation/links.py
@@ -41,7 +41,7 @@
     node: str
     side: str  # state, workers, peers, cloud, users, or a zone's name
     until: float
-    hold: bool  # requests are delivered at the end of the cut instead of lost
+    hold: bool  # POST requests are delivered at the end of the cut instead of lost
     held: list = field(default_factory=list)
     resets: bool = False  # open connections are reset, new ones hang; otherwise both hang
     reset_machines: set = field(default_factory=set)  # the machines whose connections were reset
--- a/simulation/play.py
+++ b/simulation/play.py
@@ -14,8 +14,8 @@
 from simulation.world import TICK, World
 from tidebend.protocol import KIND_BY_WIRE_NAME, PRIORITY_BY_WIRE_NAME
 
-_SHAPES = {ours: theirs for theirs, ours in KIND_BY_WIRE_NAME.items()}
-_RANKS = {ours: theirs for theirs, ours in PRIORITY_BY_WIRE_NAME.items()}
+_WIRE_NAME_BY_KIND = {ours: theirs for theirs, ours in KIND_BY_WIRE_NAME.items()}
+_WIRE_NAME_BY_PRIORITY = {ours: theirs for theirs, ours in PRIORITY_BY_WIRE_NAME.items()}
 
 
 def _arrivals(experiment: Experiment, chance: random.Random) -> list[tuple[float, str, dict]]:
@@ -40,8 +40,8 @@
     return {
         "tier": label,
         "crew": team,
-        "shape": _SHAPES[jobs.kind],
-        "rank": _RANKS[jobs.priority],
+        "shape": _WIRE_NAME_BY_KIND[jobs.kind],
+        "rank": _WIRE_NAME_BY_PRIORITY[jobs.priority],
         "pieces": chance.choice(jobs.tasks),
         "vcpus": jobs.cpus,
         "accelerators": jobs.gpus,
