--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that were on no list: what each costs, on virtual time."""
+"""Faults that the scenarios don't cover, run in the simulation on virtual time."""
 
 import json
 import random
@@ -21,7 +21,7 @@
 
 
 def busy_world(seed, report_s, lease_s, cancel_s=35.0):
-    """Six machines in each of three zones, all of them busy for long; its clock runs until the test is over."""
+    """Yield a world of three zones with six machines each, all with long tasks; its clock runs until the test ends."""
     random.seed(seed)
     world = World(
         seed, ZONES, TEAMS, [{**TYPES[0], "harbors": ZONES}], lease_s=lease_s, report_s=report_s, cancel_s=cancel_s
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize(("report_s", "lease_s"), [(1.0, 10.0), (3.0, 14.0), (2.5, 15.25)])
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_controller_that_loses_its_workers_alone_gives_them_up_before_their_leases_end(seed, report_s, lease_s):
-    """Each machine had to be suspect by itself first, and what was given up came back while it still wasn't heard:
-    workers went back and forth, sent on by the others, a time-out each time."""
+    """The controller gave its shard up only once each machine was suspected separately, and took the shard back while
+    it still received no heartbeats. Peers redirected the workers back and forth, with a time-out each time."""
     for world in busy_world(seed, report_s, lease_s):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         began = world.now
@@ -54,7 +54,8 @@
 
 
 def test_a_new_token_of_our_own_does_not_begin_the_patience_with_silent_machines_anew():
-    """Commands without an answer have the token raised: with workers lost that went on, and 10 s passed, not 7."""
+    """Unanswered commands raise the fencing token, again and again with all workers lost. Each new token restarted the
+    grace period, so the shard was given up after 10 s instead of 7 s."""
     for world in busy_world(1, 3.0, 14.0):
         first = world.controllers["n0"]
         before = first.coordinator.grant("north.0")
@@ -64,7 +65,7 @@
         assert after.token > before.token
         assert after.acquired_at > before.acquired_at
         assert after.held_since == before.held_since
-        # given by whoever leads, another may have heard the machines meanwhile
+        # after a grant by the leader it restarts: another holder may have received heartbeats in the meantime
         first.coordinator.shard_records.grant("north.0", after.token, "n1", world.controllers["n1"].coordinator.lease)
         first.cache.catch_up(0.0, "claim")
         _, version = first.cache.get("tidebend/live/block/north.0")
@@ -76,13 +77,14 @@
 
 
 def test_a_block_without_a_holder_goes_where_the_next_controller_is_alive():
-    """Two of three gone: workers of one that stood still went to the one that was down, and lost their leases."""
+    """With two of three controllers gone, the shard of a frozen one was assigned to the one that was down, and the
+    workers' leases expired."""
     for world in busy_world(1, 1.0, 10.0):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         world.crash("n1", 40.0)
         for _ in range(100):
             world.step()
-        assert world.state.items["tidebend/live/block/south.0"][0]["holder"] == "n2"  # after n0 comes n1
+        assert world.state.items["tidebend/live/block/south.0"][0]["holder"] == "n2"  # though n1 comes next after n0
         world.frozen["n2"] = world.now + 20.0
         for _ in range(250):
             world.step()
@@ -93,22 +95,23 @@
     return json.dumps({**worker.body(), **changes}).encode()
 
 
-def late(controller, raw):
+def deliver(controller, raw):
     return controller.route("POST", "/v1/report", lambda: raw)
 
 
 def test_reports_that_come_late_keep_no_dead_machine_heard_and_no_lost_zone():
-    """A new holder knows no order of reports yet: copies of a dead machine's came one by one, and each was news."""
+    """A new holder has no sequence numbers to compare with yet: delayed copies of a dead machine's reports arrived one
+    after the other, and each counted as a new heartbeat."""
     for world in busy_world(1, 1.0, 10.0):
         worker = next(worker for worker in world.workers.values() if worker.zone == "south")
-        old = [report_of(worker) for _ in range(4)]
+        reports = [report_of(worker) for _ in range(4)]
         first = world.controllers["n0"]
-        came = first.zone_probe.report_ages().get("south.0", 1e9)
-        assert late(first, old[3]).status == 421  # not ours: whoever it is, it came
-        assert first.zone_probe.report_ages()["south.0"] < came
+        age_s = first.zone_probe.report_ages().get("south.0", 1e9)
+        assert deliver(first, reports[3]).status == 421  # not the holder, but the zone is reachable
+        assert first.zone_probe.report_ages()["south.0"] < age_s
         world.steady += 2.0
-        late(first, old[0])
-        late(first, old[3])
+        deliver(first, reports[0])
+        deliver(first, reports[3])
         assert first.zone_probe.report_ages()["south.0"] >= 2.0
         del world.workers[worker.name]
         world.crash("n1", 30.0)
@@ -119,14 +122,14 @@
         )
         holder.machine_registry.forget([worker.name])
         began = world.steady
-        for raw in old:
-            late(holder, raw)
+        for raw in reports:
+            deliver(holder, raw)
             world.steady += 0.5
-        assert holder.machine_registry.machines[worker.name].last_heartbeat <= began  # the first alone
+        assert holder.machine_registry.machines[worker.name].last_heartbeat <= began  # only the first copy counts
         assert worker.name not in holder.scheduling_loop.free_capacity.usable_machines(world.steady, time.time())
 
 
-TROUBLES = {
+FAULTS = {
     "crash of all": lambda world: [world.crash(node, 0.2) for node in world.nodes],
     "outage": lambda world: world.state.down(world.now + 8.0),
     "refused": lambda world: world.state.refuses.update(n1=world.now + 12.0),
@@ -140,10 +143,10 @@
 
 
 def test_nobody_is_forgotten_whatever_a_controller_went_through():
-    """Every kind of record through every trouble; then each controller is asked about each job."""
+    """Every kind of job goes through every fault; then each controller must know every job."""
     for world in busy_world(3, 1.0, 10.0):
         world.polls.clear()
-        more = [
+        jobs = [
             ("req-service", {"shape": "service", "pieces": 3, "reckonS": 0.0, "driftwood": False}),
             ("req-gang", {"shape": "group", "pieces": 2, "samePlace": True}),
             ("req-large", {"pieces": 3000, "vcpus": 0.01, "memoryGb": 0.01}),
@@ -154,16 +157,16 @@
             ("req-after", {"awaits": ["req-cancelled"]}),
             ("req-mistake", {"pieces": 6, "fails_s": 1.0}),
         ]
-        waiting = list(TROUBLES.values())
-        for number, (name, changes) in enumerate(more):
+        faults = list(FAULTS.values())
+        for number, (name, changes) in enumerate(jobs):
             world.submit(name, **{**JOB, "run_s": 8.0, **changes})
             if number == 7:
                 world.cancel("req-cancelled")
             for _ in range(25):
                 world.step()
-            if waiting:
-                waiting.pop(0)(world)
-            while world.pending:  # users name only what was accepted
+            if faults:
+                faults.pop(0)(world)
+            while world.pending:  # users name only accepted jobs as dependencies
                 world.step()
         for _ in range(500):
             world.step()
@@ -173,12 +176,12 @@
                     assert world.user("poll", name, node)[0] == 200, (name, node)
             for _ in range(250):
                 world.step()
-        told = {name: world.user("poll", name)[1] for name in world.jobs}
-        assert {told[name] for name in ("req-cancelled", "req-after")} == {"withdrawn"}
-        assert {told[name] for name in ("req-gang", "req-large", "req-first", "req-third")} == {"done"}
-        assert told["req-service"] == "running"
-        assert told["req-a"] != "withdrawn"
-        assert told["req-mistake"] in ("queued", "running")
+        states = {name: world.user("poll", name)[1] for name in world.jobs}
+        assert {states[name] for name in ("req-cancelled", "req-after")} == {"withdrawn"}
+        assert {states[name] for name in ("req-gang", "req-large", "req-first", "req-third")} == {"done"}
+        assert states["req-service"] == "running"
+        assert states["req-a"] != "withdrawn"
+        assert states["req-mistake"] in ("queued", "running")
         assert not breaches(world.log, world.jobs, TEAMS, world.cancel_s, world.completed)
 
 
@@ -203,14 +206,14 @@
         holder = world.controllers["n0"]
         worker = next(worker for worker in world.workers.values() if worker.zone == "north")
         before = repr(holder.machine_registry.machines[worker.name])
-        reply = late(holder, report_of(worker, **changes))
+        reply = deliver(holder, report_of(worker, **changes))
         assert reply.status == 400
         assert len(reply.body["error"]) > 10
         assert repr(holder.machine_registry.machines[worker.name]) == before
 
 
 def test_who_asks_a_controller_that_is_out_of_touch_alone_finds_another_at_once():
-    """Users stayed on their connections and were refused until the load balancer had given the controller up."""
+    """Users kept their connections and were refused until the load balancer removed the controller."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         poll = ("GET", "/api/jobs/req-a", lambda: b"")
@@ -221,26 +224,28 @@
         reply = first.route(*poll)
         assert (reply.status, reply.close_connection) == (503, True)
         for peer in first.peer_exchange.peers.values():
-            peer.received_at = -1e9  # as far as it knows nobody can answer: no use in connecting anew
+            peer.received_at = -1e9  # no peer seems able to answer either: reconnecting would be of no use
         assert not first.route(*poll).close_connection
 
 
 def test_a_service_that_runs_elsewhere_is_not_at_fault_for_three_bad_machines():
-    """Its other replicas hold their places for ever: taken for tries, they would keep it from being tried."""
+    """Its other replicas keep their allocations for ever. Counted as retries that are under way, they would prevent any
+    further retry of the failed replica."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         first.scheduling_loop.completions.backoffs["req-s"] = RetryBackoff(
             failures=3, machines=dict.fromkeys(["a", "b", "c"], 0.0)
         )
         spec = parse_job({**JOB, "shape": "service", "pieces": 2})
-        claimed = Job("req-s", 1, spec, 0.0).with_allocations([Allocation("vm-far", 1, 1, 1, time.time(), "south")])
-        assert first.scheduling_loop.completions.is_crash_looping(claimed, time.monotonic())
+        job = Job("req-s", 1, spec, 0.0).with_allocations([Allocation("vm-far", 1, 1, 1, time.time(), "south")])
+        assert first.scheduling_loop.completions.is_crash_looping(job, time.monotonic())
         world.now += 2.5 * 10.0
-        assert not first.scheduling_loop.completions.is_crash_looping(claimed, time.monotonic())
+        assert not first.scheduling_loop.completions.is_crash_looping(job, time.monotonic())
 
 
 def test_a_gangs_replacement_avoids_the_machine_that_still_knows_its_attempt():
-    """Ended tasks are kept there for a while: chosen again and again, it refused what was to complete the gang."""
+    """A worker keeps ended tasks for a while, and refuses to start one again with the same attempt. The replacement was
+    placed on the same machine again and again."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         spec = parse_job({**JOB, "shape": "group", "pieces": 2})
