--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -523,7 +523,7 @@
 
 @pytest.mark.parametrize(("held", "released"), [(["north.0"], []), ([], ["vm-000000"])])
 def test_a_zone_is_left_alone_only_if_its_controller_holds_its_block(world, held, released):
-    """A controller that was cut off before it learnt of its grant refuses its workers: their machines are released soon."""
+    """A controller that was cut off before it learnt of its grant refuses its workers: they are released soon."""
     controller = world.controllers["n1"]
     now = time.monotonic()
     controller.coordinator.local_holders.record("north.0", "n0")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,7 +1,7 @@
-"""Runs the scenarios in tests/scenarios: what is submitted, what fails when, and what must hold.
+"""Runs the scenarios in tests/scenarios: what is submitted, which faults occur when, and what is expected at the end.
 
-A line is `TIME action words...` or `expect words...`; the rest sets the scene. `TIME every STEP UNTIL submit NAME ...`
-submits NAME-0, NAME-1 and so on. Every scenario must keep the rules.
+A line is an event, `TIME action words...`, an expectation, `expect words...`, or a setting of the simulated world.
+`TIME every STEP UNTIL submit NAME ...` submits NAME-0, NAME-1 and so on. No scenario may break a rule of the checker.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 }
 
 
-def value(text):
+def parse_value(text):
     if text in ("true", "false", "null"):
         return {"true": True, "false": False, "null": None}[text]
     try:
@@ -50,17 +50,19 @@
         return text
 
 
-def fields(words):
-    made = {key: value(text) for key, text in (word.split("=", 1) for word in words)}
-    if "run_s" in made:
-        made.setdefault("reckonS", float(made["run_s"]))
+def parse_fields(words):
+    parsed = {key: parse_value(text) for key, text in (word.split("=", 1) for word in words)}
+    if "run_s" in parsed:
+        parsed.setdefault("reckonS", float(parsed["run_s"]))
     for key in ("hulls", "awaits"):
-        if isinstance(made.get(key), str):
-            made[key] = made[key].split(",")
-    return made
+        if isinstance(parsed.get(key), str):
+            parsed[key] = parsed[key].split(",")
+    return parsed
 
 
 class Scenario:
+    """A parsed scenario file."""
+
     def __init__(self, path, seed=None):
         self.zones, self.teams, self.types = ["north", "south", "west"], [], []
         self.capacity, self.machines, self.events, self.expected = [], [], [], []
@@ -82,16 +84,16 @@
                 self.events.append((float(words[0]), words[1:]))
             elif words[0] == "run":
                 self.length = float(words[1])
-            elif words[0] == "seed":  # one that shows what the scenario guards against, where the first doesn't
+            elif words[0] == "seed":  # a seed with which the failure occurs, where it doesn't with the default
                 self.seed = int(words[1])
-            elif words[0] == "production":  # nodes that begin with the version in production
+            elif words[0] == "production":  # the controllers that run production's version at first
                 self.production = words[1:]
-            elif words[0] == "next":  # limits of the state service that the settings announce
-                self.next_limits = fields(words[1:])
+            elif words[0] == "next":  # future limits of the key-value store that the settings announce
+                self.next_limits = parse_fields(words[1:])
             elif words[0] == "zones":
                 self.zones = words[1:]
             elif words[0] == "team":
-                self.teams.append({"name": words[1], "gpus": 0.0, "gpus_max": 0.0, **fields(words[2:])})
+                self.teams.append({"name": words[1], "gpus": 0.0, "gpus_max": 0.0, **parse_fields(words[2:])})
             elif words[0] == "type":
                 self.types.append(
                     {
@@ -100,7 +102,7 @@
                         "localGb": 50.0,
                         "fetchGbPerS": 1.0,
                         "harbors": self.zones,
-                        **fields(words[2:]),
+                        **parse_fields(words[2:]),
                     }
                 )
             elif words[0] == "capacity":
@@ -139,58 +141,58 @@
             for _ in range(count):
                 world.cloud.add(kind, zone, spot, -50.0)
         begin = world.now
-        waiting = sorted(self.events, key=lambda event: event[0])
+        events = sorted(self.events, key=lambda event: event[0])
         with world.clock():
             while world.now < begin + self.length:
-                while waiting and waiting[0][0] <= world.now - begin:
-                    self.act(world, waiting.pop(0)[1])
+                while events and events[0][0] <= world.now - begin:
+                    self.apply_event(world, events.pop(0)[1])
                 world.step()
         return world
 
-    def act(self, world, words):
-        what, rest = words[0], words[1:]
-        if what == "submit":
-            world.submit(rest[0], **{**JOB, **fields(rest[1:])})
-        elif what == "cancel":
+    def apply_event(self, world, words):
+        action, rest = words[0], words[1:]
+        if action == "submit":
+            world.submit(rest[0], **{**JOB, **parse_fields(rest[1:])})
+        elif action == "cancel":
             world.cancel(rest[0])
-        elif what == "cancel_at_end":
-            # SECONDS SHARE [NODE]: so many of the jobs that end are cancelled at that moment, through this controller
+        elif action == "cancel_at_end":
+            # SECONDS SHARE [NODE]: this share of the jobs that end is cancelled at that moment, through the controller
             world.cancelled_at_end.append((world.now + float(rest[0]), float(rest[1])))
             world.cancelled_through = rest[2] if len(rest) > 2 else None
-        elif what == "ask":  # a single request: poll, submit or cancel, of a certain node
+        elif action == "ask":  # ACTION JOB NODE: a single poll, submit or cancel request to this controller
             if rest[0] == "cancel":
                 world.log.append((world.now, "asked", "cancel", rest[1], None))
             world.user(rest[0], rest[1], rest[2])
-        elif what == "crash":
+        elif action == "crash":
             for node in world.nodes if rest[0] == "all" else [rest[0]]:
                 world.crash(node, float(rest[1]))
-        elif what == "upgrade":  # NODE SECONDS: replaced by the new version
+        elif action == "upgrade":  # NODE SECONDS: restarted with the new version, down for this time
             world.upgrade(rest[0], float(rest[1]))
-        elif what == "limits":  # of the state service, from now on
-            world.state.limits.update(fields(rest))
-        elif what == "cut":  # NODE SIDE SECONDS [hold]
+        elif action == "limits":  # of the key-value store, from now on
+            world.state.limits.update(parse_fields(rest))
+        elif action == "cut":  # NODE SIDE SECONDS [hold]: network partition; hold: executes POST requests at its end
             world.cuts.append(Cut(rest[0], rest[1], world.now + float(rest[2]), "hold" in rest))
-        elif what == "outage":
+        elif action == "outage":
             world.state.down(world.now + float(rest[0]))
-        elif what == "cloud_outage":
+        elif action == "cloud_outage":
             world.cloud.down_until = world.now + float(rest[0])
-        elif what == "refuse":  # the state service refuses one node
+        elif action == "refuse":  # the key-value store refuses the requests of one controller
             world.state.refuses[rest[0]] = world.now + float(rest[1])
-        elif what == "die":
+        elif action == "die":
             worker = world.workers.pop(rest[0], None)
             if worker is not None:
                 worker.lose_all()
-        elif what == "take":
+        elif action == "take":
             world.cloud.remove(rest[0])
-        elif what == "notice":
+        elif action == "notice":
             world.workers[rest[0]].notice = world.now + float(rest[1])
-        elif what == "hang":
+        elif action == "hang":
             world.workers[rest[0]].hung_until = world.now + float(rest[1])
-        elif what == "deaf":  # MACHINE SECONDS: its reports arrive, answers and commands don't reach it
+        elif action == "deaf":  # MACHINE SECONDS: its heartbeats arrive, answers and commands are lost
             world.deaf[rest[0]] = world.now + float(rest[1])
-        elif what == "mute":  # MACHINE SECONDS: commands reach it, its reports don't arrive
+        elif action == "mute":  # MACHINE SECONDS: commands reach it, its heartbeats are lost
             world.mute[rest[0]] = world.now + float(rest[1])
-        elif what == "copies":  # MACHINE|all SECONDS DELAY [everywhere]: its reports come again so much later
+        elif action == "copies":  # MACHINE|all SECONDS DELAY [everywhere]: heartbeats arrive a second time, this late
             world.copies.append(
                 Copies(
                     None if rest[0] == "all" else rest[0],
@@ -199,25 +201,25 @@
                     "everywhere" in rest,
                 )
             )
-        elif what == "repeats":  # SECONDS LATE: direct commands are carried out again so much later
+        elif action == "repeats":  # SECONDS DELAY: direct commands are executed a second time, this much later
             world.repeats.append((world.now + float(rest[0]), float(rest[1])))
-        elif what == "late_reports":  # SECONDS SHARE: copies of these come again, up to well over a lease later
+        elif action == "late_reports":  # SECONDS SHARE: copies of these heartbeats arrive up to well over a lease later
             world.late_reports.append((world.now + float(rest[0]), float(rest[1])))
-        elif what == "late_writes":  # SECONDS SHARE: these transactions get no answer and are carried out later
+        elif action == "late_writes":  # SECONDS SHARE: these transactions get no answer and are executed later
             world.late_writes.append((world.now + float(rest[0]), float(rest[1])))
-        elif what == "slow":  # SECONDS SHARE: the state service's answers to these come after the time-out
+        elif action == "slow":  # SECONDS SHARE: the key-value store answers these requests after their time-out
             world.slow.append((world.now + float(rest[0]), float(rest[1])))
-        elif what == "held_up":  # SECONDS SHARE: of commands and answers; they come seconds later, machines go on
+        elif action == "held_up":  # SECONDS SHARE: these commands and answers are delayed by seconds, machines go on
             world.held_up.append((world.now + float(rest[0]), float(rest[1])))
-        elif what == "unread":  # NODE SECONDS: its reads of changes get no answer, its other requests do
+        elif action == "unread":  # NODE SECONDS: its watch requests get no answer, its other requests do
             world.unread[rest[0]] = world.now + float(rest[1])
-        elif what == "hang_watch":  # NODE: its open watch brings nothing, for as long as it waits
+        elif action == "hang_watch":  # NODE: its open watch request delivers no changes until it times out
             world.hang_watch(rest[0])
-        elif what == "freeze":  # NODE SECONDS: stands still while its clocks run on
+        elif action == "freeze":  # NODE SECONDS: the process is suspended while its clocks run on
             world.frozen[rest[0]] = world.now + float(rest[1])
-        elif what == "sick":
+        elif action == "sick":
             world.workers[rest[0]].sick_until = world.now + float(rest[1])
-        elif what == "never_up":
+        elif action == "never_up":
             world.cloud.never_up = rest[0] == "on"
         else:
             raise ValueError(" ".join(words))
@@ -228,53 +230,53 @@
 
 
 def down_s(world, job):
-    """Seconds that a job's tasks weren't on machines, from the time each was first there, added up."""
-    off, total = {}, 0.0
+    """Return the total time in seconds for which a job's tasks were down, each counted from its first start."""
+    down_since, total = {}, 0.0
     for row in world.log:
         if row[1] in ("on", "off") and row[2].partition("/")[0] == job:
             if row[1] == "off":
-                off[row[2]] = row[0]
-            elif row[2] in off:
-                total += row[0] - off.pop(row[2])
-    return total + sum(world.now - at for at in off.values())
+                down_since[row[2]] = row[0]
+            elif row[2] in down_since:
+                total += row[0] - down_since.pop(row[2])
+    return total + sum(world.now - since for since in down_since.values())
 
 
-def holds(world, words):
-    what, rest = words[0], words[1:]
-    if what in ("done", "withdrawn", "running", "queued"):
-        return state_of(world, rest[0]) == what
-    if what == "answer":  # the last answer's status
+def is_met(world, words):
+    expectation, rest = words[0], words[1:]
+    if expectation in ("done", "withdrawn", "running", "queued"):
+        return state_of(world, rest[0]) == expectation
+    if expectation == "answer":  # JOB STATUS: the HTTP status of the last answer about the job
         return world.answers[rest[0]][0] == int(rest[1])
-    if what == "on":  # tasks on machines now
+    if expectation == "on":  # JOB N: tasks that run now
         return sum(
             1
             for worker in world.workers.values()
             for key, task in worker.tasks.items()
             if key.partition("/")[0] == rest[0] and task.state == "running"
         ) == int(rest[1])
-    if what == "starts":  # JOB at_most N
+    if expectation == "starts":  # JOB at_most N
         return sum(1 for row in world.log if row[1] == "on" and row[2].partition("/")[0] == rest[0]) <= int(rest[2])
-    if what == "no_change_refused":  # for its size
+    if expectation == "no_change_refused":  # no transaction was refused as too large
         return not world.state.refused
-    if what == "format":
+    if expectation == "format":
         return (
             world.state.items["tidebend/live/format"][0] == {"version": int(rest[0])}
             if int(rest[0]) > 1
             else "tidebend/live/format" not in world.state.items
         )
-    if what == "started":  # JOB within SECONDS of its submission
-        asked = next(row[0] for row in world.log if row[1] == "asked" and row[3] == rest[0])
-        first = next((row[0] for row in world.log if row[1] == "on" and row[2].partition("/")[0] == rest[0]), 1e18)
-        return first - asked <= float(rest[2])
-    if what == "rented":
+    if expectation == "started":  # JOB within SECONDS: the first task started so soon after the submission
+        submitted_at = next(row[0] for row in world.log if row[1] == "asked" and row[3] == rest[0])
+        started_at = next((row[0] for row in world.log if row[1] == "on" and row[2].partition("/")[0] == rest[0]), 1e18)
+        return started_at - submitted_at <= float(rest[2])
+    if expectation == "rented":
         return world.cloud.rented <= int(rest[1]) if rest[0] == "at_most" else world.cloud.rented >= int(rest[1])
-    if what == "machines":  # at_most N left
+    if expectation == "machines":  # at_most N: machines that aren't released
         return sum(1 for row in world.cloud.machines.values() if row.gone_at is None) <= int(rest[1])
-    if what == "missed":  # JOB SECONDS: its replicas, each from its first start on, for so long at the most in all
+    if expectation == "missed":  # JOB SECONDS: its replicas' total downtime, each from its first start on, at most this
         return down_s(world, rest[0]) <= float(rest[1])
-    if what == "gone":
+    if expectation == "gone":
         return world.cloud.machines[rest[0]].gone_at is not None
-    if what == "kept":
+    if expectation == "kept":
         return world.cloud.machines[rest[0]].gone_at is None
     raise ValueError(" ".join(words))
 
@@ -283,12 +285,12 @@
 def test_scenario(path):
     scenario = Scenario(path)
     if scenario.production and production() is None:
-        pytest.skip("the version in production isn't in the history at hand")
+        pytest.skip("the commit of the version in production isn't in this repository's history")
     world = scenario.run()
     found = breaches(world.log, world.jobs, scenario.teams, world.cancel_s, world.completed)
     assert not found, found[:5]
     for words in scenario.expected:
-        assert holds(world, words), " ".join(words)
+        assert is_met(world, words), " ".join(words)
 
 
 def test_same_seed_same_log():
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Processes that end and are started again within a fraction of a second: what of the former one still lives."""
+"""Controllers that restart within a fraction of a second, while the lease of the former process is still valid."""
 
 import json
 import time
@@ -14,9 +14,8 @@
     yield from started_world()
 
 
-def restarted(world, node="n0"):
-    """The node's next process, before it has read anything; its first read and the machines' types come while it
-    waits."""
+def restart(world, node="n0"):
+    """Return a node's next controller, with an empty cache and no machine types yet."""
     world.crash(node, 0.0)
     version = world.versions[node]
     from simulation.links import Link
@@ -32,50 +31,50 @@
 
 
 def test_a_submission_that_comes_before_the_first_read_is_answered_after_it(world, monkeypatch):
-    """It got 503, and its user came back a second later."""
-    controller = restarted(world)
-    slept = []
+    """It was answered with 503, and the user retried only a second later."""
+    controller = restart(world)
+    sleeps = []
 
     def sleep(seconds):
         world.steady += seconds
-        slept.append(seconds)
-        if len(slept) == 5:
+        sleeps.append(seconds)
+        if len(sleeps) == 5:
             controller.cache.catch_up(0.0, "claim")
-        if len(slept) == 8:
+        if len(sleeps) == 8:
             controller.autoscaler.scale_once()
 
     monkeypatch.setattr(time, "sleep", sleep)
     world.jobs["req-000001"] = {"id": "req-000001", **JOB}
     reply = ask(controller, "POST", "/api/jobs", json.dumps(world.jobs["req-000001"]).encode())
     assert reply.status == 201
-    assert len(slept) >= 8
+    assert len(sleeps) >= 8
     assert ask(controller, "GET", "/ready").status == 200
 
 
 def test_requests_wait_no_longer_than_a_moment_while_nothing_can_be_read(world):
-    """An outage of the state service at the start must not hold users' connections."""
-    controller = restarted(world)
+    """An outage of the key-value store during a start must not block users' connections."""
+    controller = restart(world)
     began = world.steady
     assert ask(controller, "GET", "/api/jobs/req-000001").status == 503
     assert world.steady - began <= 0.2 * controller.settings.controller_lease_s + 0.1
     began = world.steady
     assert ask(controller, "GET", "/ready").status == 503
-    assert world.steady - began < 0.02  # and only once
+    assert world.steady - began < 0.02  # only the first request waits
 
 
 def test_a_start_costs_the_state_service_and_the_cloud_a_few_calls(world):
-    """Ten starts in ten seconds must not eat the budget of the others."""
+    """Ten starts in ten seconds must not use up the rate limits that the other controllers share."""
     calls = {"state": 0, "cloud": 0}
     for name in calls:
-        part = getattr(world, name)
+        service = getattr(world, name)
 
-        def counted(node, *args, call=part.call, name=name):
+        def counted(node, *args, call=service.call, name=name):
             calls[name] += node == "n0"
             return call(node, *args)
 
-        part.call = counted
+        service.call = counted
 
-    def cost(starts):
+    def count_calls(starts):
         for name in calls:
             calls[name] = 0
         for _ in range(10):
@@ -85,14 +84,15 @@
                 world.step()
         return dict(calls)
 
-    at_rest, starting = cost(0), cost(10)
+    idle, restarting = count_calls(0), count_calls(10)
     limits = world.controllers["n0"].settings.store_limits
-    assert (starting["state"] - at_rest["state"]) / 10 <= 0.25 * limits.rps
-    assert (starting["cloud"] - at_rest["cloud"]) / 10 <= 1.5
+    assert (restarting["state"] - idle["state"]) / 10 <= 0.25 * limits.rps
+    assert (restarting["cloud"] - idle["cloud"]) / 10 <= 1.5
 
 
 def test_a_start_takes_its_blocks_back_at_once_with_a_token_above_the_former_ones(world):
-    """The former process's lease still lives; what it sent under the old token can't be executed any more."""
+    """The lease of the former process is still valid; commands that it sent under the old token can't be executed any
+    more."""
     before = world.controllers["n0"].coordinator.grant("north.0").token
     world.crash("n0", 0.0)
     for _ in range(8):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Records and frames of the version in production: samples that it made, read, used and written again."""
+"""Compatibility with records and peer frames of the version in production, by samples that it wrote."""
 
 import json
 import random
@@ -15,7 +15,7 @@
 from tidebend.coordination.schema_version import READABLE_VERSION_PREFIX, SCHEMA_VERSION_KEY
 
 SAMPLES = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
-SCENE = """machines 2 box north
+SCENARIO = """machines 2 box north
 machines 2 box south
 2 submit req-a pieces=9 vcpus=2 run_s=6
 3 submit req-s shape=service rank=critical pieces=2 spread=true reckonS=0 driftwood=false
@@ -32,7 +32,7 @@
 
 
 def structure(value):
-    """A value's structure: names and types, not contents."""
+    """Return a value's structure: field names and types without the contents."""
     if isinstance(value, dict):
         return {key: structure(part) for key, part in value.items()}
     if isinstance(value, list):
@@ -64,8 +64,8 @@
 
 
 def test_until_the_format_is_raised_everything_has_productions_structure(tmp_path):
-    """One controller is never there: it might come back old, and would drop what it doesn't know."""
-    (tmp_path / "scene.txt").write_text(SCENE + "0.0 crash n2 1000\nrun 32\n")
+    """A controller that is down could come back with production's version, which drops fields that it doesn't know."""
+    (tmp_path / "scene.txt").write_text(SCENARIO + "0.0 crash n2 1000\nrun 32\n")
     world = Scenario(tmp_path / "scene.txt").run()
     known = {}
     for key, value in [*SAMPLES["items"].items(), *((row["key"], row["value"]) for row in SAMPLES["jobs"])]:
@@ -73,7 +73,7 @@
     written = [(row["put"], row["v"]) for row in world.state.changes if "put" in row]
     assert {key_prefix(key) for key, _ in written} - set(known) == {
         key_prefix(READABLE_VERSION_PREFIX + "n0")
-    }  # which production never looks at
+    }  # a key that production never reads
     assert SCHEMA_VERSION_KEY not in world.state.items
     for key, value in written:
         if key_prefix(key) == key_prefix(JOB_PREFIX):
@@ -81,17 +81,17 @@
             assert any(set(value) <= set(sample) | {"cancelled"} for sample in known[key_prefix(key)]), value
             assert all(list(map(type, row[:4])) == [int, int, float, str] for row in value.get("claims", ()))
         elif key_prefix(key) in known:
-            # what a node can't hear is a list of texts that is mostly empty
+            # `unheard` is a list of strings that is empty in most records
             assert structure(value) in known[key_prefix(key)] or "unheard" in value, (key, value)
     frame = json.loads(json.dumps(world.controllers["n0"].peer_frame()))
     assert list(frame) == list(SAMPLES["frame"])
     assert [type(part) for part in frame["machines"][0]] == [type(part) for part in SAMPLES["frame"]["machines"][0]]
 
 
-def awaiting(name, **more):
+def job_with_dependency(name, **changes):
     from tests.test_scenarios import JOB as FIELDS
 
-    return {"id": name, **FIELDS, "awaits": ["req-a"], **more}
+    return {"id": name, **FIELDS, "awaits": ["req-a"], **changes}
 
 
 def test_awaits_is_not_dropped_before_the_format_is_raised():
@@ -115,9 +115,9 @@
     with world.clock():
         for _ in range(60):
             world.step()
-        world.jobs["req-a"] = {key: value for key, value in awaiting("req-a").items() if key != "awaits"}
+        world.jobs["req-a"] = {key: value for key, value in job_with_dependency("req-a").items() if key != "awaits"}
         assert world.user("submit", "req-a", "n0")[0] == 201
-        raw = json.dumps(awaiting("req-b")).encode()
+        raw = json.dumps(job_with_dependency("req-b")).encode()
         reply = world.controllers["n0"].job_api.submit(raw)
         assert reply.status == 503
         assert reply.headers["Retry-After"]
@@ -136,7 +136,7 @@
 
 
 def test_the_frames_between_controllers_keep_their_fields(world):
-    """Versions of both kinds exchange them during a roll, and a field under another name is passed over in silence."""
+    """Old and new versions exchange them during a rolling upgrade, and ignore a field that has another name."""
     frame = world.controllers["n0"].peer_frame()
     assert frame.keys() == {"from", "state_contact", "machines", "held", "blocks", "at_fault", "came"}
     assert all(len(row) == 8 for row in frame["machines"])
