--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -227,7 +227,7 @@
 
 
 def test_a_task_that_was_stopped_before_it_started_is_not_started_while_its_end_waits_to_be_recorded():
-    """A report that came between the proof that the task can't start and the record of its end led to `ran_twice`."""
+    """A report between the proof that a task can't start and the record of its end started it again: `ran_twice`."""
     key = ("req-a", 0, 1)
     machine = machine_with()
     machine.stop_requests[key] = 0.0
@@ -523,7 +523,7 @@
 
 @pytest.mark.parametrize(("held", "released"), [(["north.0"], []), ([], ["vm-000000"])])
 def test_a_zone_is_left_alone_only_if_its_controller_holds_its_block(world, held, released):
-    """A controller that was cut off before it learnt of its grant refuses its workers: they are released soon."""
+    """A controller that was cut off before it learnt of its grant refuses its workers, so they are released soon."""
     controller = world.controllers["n1"]
     now = time.monotonic()
     controller.coordinator.local_holders.record("north.0", "n0")
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -168,15 +168,16 @@
                 world.crash(node, float(rest[1]))
         elif action == "upgrade":  # NODE SECONDS: restarted with the new version, down for this time
             world.upgrade(rest[0], float(rest[1]))
-        elif action == "limits":  # of the key-value store, from now on
+        elif action == "limits":  # KEY=VALUE...: limits of the key-value store, from now on
             world.state.limits.update(parse_fields(rest))
-        elif action == "cut":  # NODE SIDE SECONDS [hold]: network partition; hold: executes POST requests at its end
+        elif action == "cut":
+            # NODE SIDE SECONDS [hold]: a network partition; with "hold", POST requests are executed when it ends
             world.cuts.append(Cut(rest[0], rest[1], world.now + float(rest[2]), "hold" in rest))
         elif action == "outage":
             world.state.down(world.now + float(rest[0]))
         elif action == "cloud_outage":
             world.cloud.down_until = world.now + float(rest[0])
-        elif action == "refuse":  # the key-value store refuses the requests of one controller
+        elif action == "refuse":  # NODE SECONDS: the key-value store refuses the controller's requests
             world.state.refuses[rest[0]] = world.now + float(rest[1])
         elif action == "die":
             worker = world.workers.pop(rest[0], None)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -77,14 +77,16 @@
 
 
 def test_a_block_without_a_holder_goes_where_the_next_controller_is_alive():
-    """With two of three controllers gone, the shard of a frozen one was assigned to the one that was down, and the
-    workers' leases expired."""
+    """With two of three controllers gone, the workers of a frozen controller tried the one that was down next. Their
+    leases expired."""
     for world in busy_world(1, 1.0, 10.0):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         world.crash("n1", 40.0)
         for _ in range(100):
             world.step()
-        assert world.state.items["tidebend/live/block/south.0"][0]["holder"] == "n2"  # though n1 comes next after n0
+        assert (
+            world.state.items["tidebend/live/block/south.0"][0]["holder"] == "n2"
+        )  # not n0, whose workers would try n1 next
         world.frozen["n2"] = world.now + 20.0
         for _ in range(250):
             world.step()
@@ -230,7 +232,7 @@
 
 def test_a_service_that_runs_elsewhere_is_not_at_fault_for_three_bad_machines():
     """Its other replicas keep their allocations for ever. Counted as retries that are under way, they would prevent any
-    further retry of the failed replica."""
+    further retry of the service."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         first.scheduling_loop.completions.backoffs["req-s"] = RetryBackoff(
