--- a/tidebend/controller/autoscaling/autoscaler.py
+++ b/tidebend/controller/autoscaling/autoscaler.py
@@ -149,7 +149,7 @@
             try:
                 self.check_machines_once()
             except Exception:
-                log.exception("guard")
+                log.exception("unexpected error while checking machines")
                 time.sleep(ERROR_PAUSE_S)
 
     def check_machines_once(self) -> None:
@@ -203,7 +203,7 @@
             except InvalidMessageError as error:
                 log.error("cloud: invalid response: %s", error)
             except Exception:
-                log.exception("autoscaling")
+                log.exception("unexpected error while scaling")
             time.sleep(interval_s * random.uniform(*SCALE_JITTER))
 
     def scale_once(self) -> None:
--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -13,7 +13,7 @@
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
 from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.kvclient.results import ABSENT, VersionedValue
-from tidebend.kvclient.steady_time import NEVER
+from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.watch_cache import WatchCache
 
 __all__ = [
--- a/tidebend/kvclient/client.py
+++ b/tidebend/kvclient/client.py
@@ -194,7 +194,7 @@
                 raise OverBudgetError
             time.sleep(self._budget.retry_pause_s())
         if status == UNAVAILABLE:
-            raise NotExecutedError("refused")
+            raise NotExecutedError("the key-value store answered 503")
         return status, answer
 
     def _send(self, request: _Request) -> tuple[int, Any]:
--- a/tidebend/kvclient/read_barrier.py
+++ b/tidebend/kvclient/read_barrier.py
@@ -9,7 +9,7 @@
 
 from tidebend.kvclient.errors import NotExecutedError, OutcomeUnknownError
 from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
-from tidebend.kvclient.steady_time import NEVER
+from tidebend.kvclient.monotonic_time import NEVER
 
 log = logging.getLogger("kvclient")
 
--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -6,7 +6,7 @@
 import time
 
 from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
-from tidebend.kvclient.steady_time import NEVER
+from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.settings import StoreLimits
 from tidebend.transport import TokenBucket
 
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -17,7 +17,7 @@
 from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.kvclient.results import ABSENT, Row, VersionedValue
 from tidebend.kvclient.snapshot import Snapshot, read_snapshot
-from tidebend.kvclient.steady_time import NEVER
+from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.tombstones import Tombstones
 from tidebend.protocol import Write
 
