--- a/tidebend/kvclient/__init__.py
+++ b/tidebend/kvclient/__init__.py
@@ -11,9 +11,9 @@
     TransactionTooLargeError,
 )
 from tidebend.kvclient.keys import FINAL, LIVE, PREFIX
+from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.kvclient.results import ABSENT, VersionedValue
-from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.watch_cache import WatchCache
 
 __all__ = [
--- a/tidebend/kvclient/read_barrier.py
+++ b/tidebend/kvclient/read_barrier.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from tidebend.kvclient.errors import NotExecutedError, OutcomeUnknownError
-from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 from tidebend.kvclient.monotonic_time import NEVER
+from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 
 log = logging.getLogger("kvclient")
 
--- a/tidebend/kvclient/request_budget.py
+++ b/tidebend/kvclient/request_budget.py
@@ -5,8 +5,8 @@
 import random
 import time
 
-from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 from tidebend.kvclient.monotonic_time import NEVER
+from tidebend.kvclient.request_kinds import BUDGET_FLOORS, RequestKind
 from tidebend.settings import StoreLimits
 from tidebend.transport import TokenBucket
 
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -13,11 +13,11 @@
 from tidebend.kvclient.client import DEFAULT_WRITE_RETRY_S, KeyValueClient
 from tidebend.kvclient.errors import NotExecutedError, OutcomeUnknownError
 from tidebend.kvclient.keys import FINAL, PREFIX
+from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.read_barrier import ReadBarrier
 from tidebend.kvclient.request_kinds import RequestKind
 from tidebend.kvclient.results import ABSENT, Row, VersionedValue
 from tidebend.kvclient.snapshot import Snapshot, read_snapshot
-from tidebend.kvclient.monotonic_time import NEVER
 from tidebend.kvclient.tombstones import Tombstones
 from tidebend.protocol import Write
 
