--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""No answer grows older: users ask everywhere, repeat and cancel while requests to the state are under way."""
+"""Monotonic answers: users poll, resubmit and cancel at every controller while requests to the store are in flight."""
 
 import itertools
 import random
@@ -15,7 +15,7 @@
 from tidebend.kvclient import WatchCache
 
 ACTIONS = ("submit", "poll", "cancel")
-ODD = {
+INVALID_FIELDS = {
     "lacks a field": {"vcpus": None},
     "fits no machine": {"vcpus": 900.0},
     "no such team": {"crew": "nobody"},
@@ -25,7 +25,7 @@
 
 
 def small(seed, teams=TEAMS, prepare=lambda world: None, **named):
-    """Two machines in each of three zones, and a first job; its clock runs until the test is over."""
+    """Yield a world with two machines in each of three zones and a first job; its clock runs until the test ends."""
     random.seed(seed)
     world = World(seed, ZONES, teams, [{**TYPES[0], "harbors": ZONES}], **named)
     for zone in ZONES:
@@ -50,18 +50,20 @@
 
 
 def pairs(world):
-    """Each action at one controller, each at another while the first one's n-th request to the state is under way, and
-    questions to all afterwards."""
+    """Run each pair of actions: one at n0, the other at n1 while n0's n-th request to the store is in flight.
+
+    Afterwards poll and resubmit the job at every controller.
+    """
     number = 0
-    for first, second, known, when, carried in itertools.product(
+    for first, second, known, when, committed in itertools.product(
         ACTIONS, ACTIONS, (False, True), range(3), (False, True)
     ):
         name, left, number = f"req-{number}", [when], number + 1
         if known:
             ask(world, "submit", name, "n2")
 
-        def meanwhile(node, method, path, body, carried_out, left=left, name=name, second=second, carried=carried):
-            if node == "n0" and carried_out == carried and left:
+        def meanwhile(node, method, path, body, carried_out, left=left, name=name, second=second, committed=committed):
+            if node == "n0" and carried_out == committed and left:
                 left[0] -= 1
                 if left[0] < 0:
                     left.clear()
@@ -83,7 +85,7 @@
 
 
 def test_answers_from_the_cache_without_a_read_are_older(monkeypatch):
-    """The guard of the test above taken out."""
+    """Without the read barrier, the scenario of the test above breaks a rule."""
     monkeypatch.setattr(JobApi, "find", JobApi._answer_from_cache)
     for world in small(1):
         pairs(world)
@@ -92,14 +94,14 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_what_meets_the_end_of_a_jobs_last_task_is_answered_once_and_for_all(seed):
-    """Done or withdrawn, one of them, everywhere: asked at all instants around the end, also while it is recorded."""
+    """All controllers give the same final answer, done or withdrawn, around the end and while it is recorded."""
     for world in small(seed):
-        chance, shapes = random.Random(seed), ({"pieces": 1}, {"pieces": 3}, {"shape": "group", "pieces": 2})
+        rng, shapes = random.Random(seed), ({"pieces": 1}, {"pieces": 3}, {"shape": "group", "pieces": 2})
         for number in range(9):
             world.submit(f"req-{number}", **{**JOB, **shapes[number % 3], "run_s": 4.0 + 0.4 * number, "vcpus": 1.0})
         asking = []
 
-        def meanwhile(*_, world=world, asking=asking, chance=chance):
+        def meanwhile(*_, world=world, asking=asking, rng=rng):
             ending = [
                 name
                 for name in world.jobs
@@ -107,47 +109,49 @@
                 and world.now - world.last_done[name] < 2.5
                 and name in world.polls
             ]
-            if asking or not ending or chance.random() < 0.7:
+            if asking or not ending or rng.random() < 0.7:
                 return
             asking.append(True)
             ask(
                 world,
-                chance.choice(("poll", "submit", "poll", "cancel")),
-                chance.choice(ending),
-                chance.choice(world.nodes),
+                rng.choice(("poll", "submit", "poll", "cancel")),
+                rng.choice(ending),
+                rng.choice(world.nodes),
             )
             asking.clear()
 
         world.meanwhile = meanwhile
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         for number in range(1200):
             world.step()
             if number % 10 == 0:
-                beside.look()
+                room_checker.look()
         del world.meanwhile
-        assert not judged(world, beside)
+        assert not judged(world, room_checker)
         assert {world.user("poll", name)[1] for name in world.jobs} <= {"done", "withdrawn"}
 
 
-@pytest.mark.parametrize("odd", ODD)
+@pytest.mark.parametrize("odd", INVALID_FIELDS)
 def test_what_was_accepted_is_known_whatever_a_repeats_body_says(odd):
-    """A repeat that lacked a field was answered 400 by controllers that hadn't read of the job yet."""
+    """A controller that has not read the job yet must not answer 400 to a resubmission that lacks a field."""
     for world in busy_world(1, 1.0, 10.0):
         world.jobs["req-b"] = {"id": "req-b", **JOB}
         world.log.append((world.now, "asked", "submit", "req-b", {}))
         assert world.user("submit", "req-b", "n0")[0] == 201
-        body = {key: value for key, value in {**world.jobs["req-b"], **ODD[odd]}.items() if value is not None}
+        body = {
+            key: value for key, value in {**world.jobs["req-b"], **INVALID_FIELDS[odd]}.items() if value is not None
+        }
         for node in world.nodes:
             if node == "n2":
                 world.controllers[node].autoscaler.machine_types.by_name = {}
             assert world.user("submit", "req-b", node, body)[0] in (200, *[503] * (node == "n2"))
         assert world.user("submit", "req-c", "n1", {**body, "id": "req-c"})[0] in (400, 422)
-        world.state.refuses["n1"] = world.now + 5.0  # it can't know whether it was accepted
+        world.state.refuses["n1"] = world.now + 5.0  # n1 cannot know whether the job was accepted
         assert world.user("submit", "req-c", "n1", {**body, "id": "req-c"})[0] == 503
 
 
 def test_a_first_submission_is_answered_by_what_is_known_by_then():
-    """It was called queued, whatever others had made of it while its transaction was under way."""
+    """The answer shows what other controllers did to the job while the transaction was in flight, not always queued."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
 
@@ -162,12 +166,12 @@
 
 
 def test_a_write_whose_answer_a_read_has_overtaken_does_not_come_back():
-    """A whole read tells of no deletions: a job that had been submitted meanwhile, and was over, came back for good."""
+    """A full read reports no deletions: a job written and deleted during it must not reappear in the cache."""
     known = {}
 
     class State:
         def transact(self, conditions, writes, kind, retry_for_s):
-            cache.catch_up(0.0, "claim")  # as of 9: the job was written at 5 and deleted at 7
+            cache.catch_up(0.0, "claim")  # at revision 9: the job was written at 5 and deleted at 7
             return 5
 
         def items(self, prefix, after):
--- a/tests/test_hand_overs.py
+++ b/tests/test_hand_overs.py
@@ -1,4 +1,4 @@
-"""Meetings around a change of holder or leader: cancellations, limits, old reports, new machines."""
+"""Cancellations, quota limits, old reports and new machines during a change of shard holder or leader."""
 
 import random
 
@@ -18,13 +18,13 @@
 GANG = {"shape": "group", "pieces": 2, "run_s": 200.0, "vcpus": 1.0, "markS": 5.0, "stowS": 2.0}
 
 
-def run(world, seconds, beside=None, each=lambda: None):
+def run(world, seconds, room_checker=None, on_step=lambda: None):
     until = world.now + seconds
     while world.now < until:
-        each()
+        on_step()
         world.step()
-        if beside is not None and world.ticks % 10 == 0:
-            beside.look()
+        if room_checker is not None and world.ticks % 10 == 0:
+            room_checker.look()
 
 
 def times(row):
@@ -55,7 +55,7 @@
 
 
 def end_one_after_the_other(world, seconds):
-    """Who takes the blocks over ends too, a moment before it gives up the machines that it never heard."""
+    """Crash each new holder shortly before it declares lost the machines that never reported to it."""
     for number in range(3):
         world.later.append(
             (
@@ -65,33 +65,35 @@
         )
 
 
-STRIKES = {
-    strike.__name__: strike for strike in (outage, refused, refused_then_outage, alone, ends, end_one_after_the_other)
+TROUBLES = {
+    trouble.__name__: trouble
+    for trouble in (outage, refused, refused_then_outage, alone, ends, end_one_after_the_other)
 }
 
 
-def cancelled_and_hanging(row, share, strike, seed=1):
-    """What breaks if jobs are called off as their machines begin to hang, for this share of `cancel_s`."""
+def cancelled_and_hanging(row, share, trouble, seed=1):
+    """Return the broken rules if jobs are cancelled as their machines hang for `share` times `cancel_s`."""
     for world in small(seed, **times(row)):
         for number in range(6):
             world.submit(f"req-{number}", **{**JOB, **(SERVICE, LONG, GANG)[number % 3], "crew": "team"})
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         run(world, 25.0)
         hang_s = share * world.cancel_s
         assert len(world.cancel_now(4, hang_s)) == 4
         run(world, 0.5)  # confirmed
-        STRIKES[strike](world, hang_s + 8.0)
-        run(world, hang_s + 8.0 + 100.0, beside)
-        return judged(world, beside)
+        TROUBLES[trouble](world, hang_s + 8.0)
+        run(world, hang_s + 8.0 + 100.0, room_checker)
+        return judged(world, room_checker)
     return None
 
 
-@pytest.mark.parametrize("strike", STRIKES)
+@pytest.mark.parametrize("trouble", TROUBLES)
 @pytest.mark.parametrize("share", [0.2, 0.5, 1.5])
 @pytest.mark.parametrize("row", TIMES, ids=lambda row: f"{row[1]:g} s")
-def test_what_is_cancelled_on_a_machine_that_hangs_is_gone_in_time(row, share, strike):
-    """By its stop, its lease, or its machine's release, for which nobody had a lease in an outage."""
-    assert not cancelled_and_hanging(row, share, strike)
+def test_what_is_cancelled_on_a_machine_that_hangs_is_gone_in_time(row, share, trouble):
+    """A cancelled task ends by a stop command, its lease or its machine's release, also during an outage, in which no
+    controller holds a lease."""
+    assert not cancelled_and_hanging(row, share, trouble)
 
 
 def test_without_a_release_in_the_outage_it_goes_on(monkeypatch):
@@ -100,18 +102,18 @@
 
 
 def test_a_machine_is_released_once_though_its_claims_cannot_be_recorded():
-    """While nothing can be written it was asked and released again every few seconds, for calls that rentals need."""
+    """While the store is down, repeated releases would use up the cloud calls that scale-out needs."""
     for world in small(1):
         world.submit("req-0", **{**JOB, **SERVICE})
         run(world, 20.0)
         world.cancel_now(1, 100.0)
         run(world, 0.5)
         outage(world, 70.0)
-        asked, honest = [], world.cloud.call
+        asked, original = [], world.cloud.call
 
-        def call(node, method, path, body, asked=asked, honest=honest):
+        def call(node, method, path, body, asked=asked, original=original):
             asked.extend(body["fleet"] if path == "/machines/release" else ())
-            return honest(node, method, path, body)
+            return original(node, method, path, body)
 
         world.cloud.call = call
         hung = {worker.name for worker in world.workers.values() if worker.hung_until > world.now}
@@ -127,10 +129,10 @@
 ]
 
 
-@pytest.mark.parametrize("strike", ["refused", "alone", "ends", "end_one_after_the_other", "outage"])
+@pytest.mark.parametrize("trouble", ["refused", "alone", "ends", "end_one_after_the_other", "outage"])
 @pytest.mark.parametrize("how", ["hang", "cut off", "zone"])
-def test_every_team_at_its_limit_and_what_is_cancelled_cannot_be_asked(how, strike):
-    """Its part of the limit is kept until proof, and then used again."""
+def test_every_team_at_its_limit_and_what_is_cancelled_cannot_be_asked(how, trouble):
+    """Quota of cancelled tasks stays in use until they are known to have ended, and is then available again."""
     for world in small(3, TWO):
         for number in range(4):
             world.submit(f"req-{number}", **{**JOB, **LONG, "crew": ("team", "other")[number % 2], "pieces": 6})
@@ -139,7 +141,7 @@
                 f"req-{number}",
                 **{**JOB, "crew": ("team", "other")[number % 2], "pieces": 3, "vcpus": 2.0, "run_s": 8.0},
             )
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         run(world, 20.0)
         used = {
             team["name"]: sum(
@@ -163,19 +165,19 @@
         for name in ("req-0", "req-1"):
             world.cancel(name)
         run(world, 0.3)
-        STRIKES[strike](world, seconds)
-        run(world, 150.0, beside)
-        assert not judged(world, beside)
+        TROUBLES[trouble](world, seconds)
+        run(world, 150.0, room_checker)
+        assert not judged(world, room_checker)
         assert {world.user("poll", f"req-{number}")[1] for number in range(4, 10)} == {"done"}
 
 
 @pytest.mark.parametrize("planned", [False, True])
 @pytest.mark.parametrize("seed", range(3))
 def test_jobs_are_cancelled_while_work_changes_hands(seed, planned):
-    """At each moment around it, at each controller; what the old holder has under way included."""
+    """Cancel at any time around the handover, at any controller, also while the old holder has requests in flight."""
     for world in small(seed):
         node = world.holder("west")
-        if planned:  # a new holder while the old one lives: the block's own controller is back
+        if planned:  # handed over while the old holder is alive, as the shard's home controller returns
             world.crash(node, 25.0)
             run(world, 20.0)
         names = [f"req-{number}" for number in range(16)]
@@ -191,10 +193,10 @@
             if names and chance.random() < 0.15:
                 world.cancel(names.pop())
 
-        beside = BesideRoom(world)
-        run(world, 18.0, each=cancel)
-        run(world, 110.0, beside)
-        assert not judged(world, beside)
+        room_checker = BesideRoom(world)
+        run(world, 18.0, on_step=cancel)
+        run(world, 110.0, room_checker)
+        assert not judged(world, room_checker)
         left = {
             key.partition("/")[0]
             for worker in world.workers.values()
@@ -207,18 +209,18 @@
 @pytest.mark.parametrize("boot_s", [0.1, 1.0, 2.0])
 @pytest.mark.parametrize("writes", ["late_writes", "slow", "lost_answers"])
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(boot_s, writes):
-    """Machines that no list shows, rentals and claims that may be on record or not."""
+    """The new leader meets machines missing from the inventory, and machine requests and claims of unknown outcome."""
     for seed in range(2):
         for world in small(seed):
             world.types[0]["startupS"] = boot_s
             world.submit("req-a", **{**JOB, "pieces": 30, "run_s": 15.0})
             world.submit("req-g", **{**JOB, **GANG, "vcpus": 6.0, "run_s": 20.0})
             getattr(world, writes).append((world.now + 10.0, 0.5))
-            beside = BesideRoom(world)
+            room_checker = BesideRoom(world)
             run(world, 2.0 + 0.5 * seed)
             world.crash(leader_of(world), 4.0)
-            run(world, 150.0, beside)
-            assert not judged(world, beside)
+            run(world, 150.0, room_checker)
+            assert not judged(world, room_checker)
             assert {world.answers[name][1] for name in ("req-a", "req-g")} == {"done"}
 
 
@@ -230,7 +232,7 @@
             world.submit(f"req-{number}", **{**JOB, **(LONG, GANG, SERVICE)[number % 3], "run_s": 40.0})
         run(world, 8.0)
         reports = [worker.body() for worker in world.workers.values()]
-        if kept == "held back":  # they arrive then, for the first time
+        if kept == "held back":  # the reports first arrive at the new leader
             world.mute.update(dict.fromkeys(world.workers, world.now + 3.0))
         elif kept == "of a former session":
             world.mute.update(dict.fromkeys(list(world.workers)[::2], world.now + 1.1 * world.lease_s))
@@ -242,14 +244,14 @@
                     if task.state == "running":
                         worker.finish(key, "error")
             run(world, 12.0)
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         for _ in range(3):
             world.kept += reports
             world.crash(leader_of(world), away)
             run(world, 8.0)
             assert not world.kept
-        run(world, 120.0, beside)
-        assert not judged(world, beside)
+        run(world, 120.0, room_checker)
+        assert not judged(world, room_checker)
         assert {world.answers[f"req-{number}"][1] for number in (0, 1, 3, 4)} == {"done"}
 
 
@@ -258,7 +260,7 @@
     for world in small(4):
         for number in range(8):
             world.submit(f"req-{number}", **{**JOB, **(LONG, GANG, SERVICE)[number % 3], "run_s": 30.0, "vcpus": 0.5})
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         run(world, 5.0)
         for number in range(10):
             if within == "an outage" and number == 4:
@@ -271,8 +273,8 @@
             if number in (2, 5):
                 world.cancel(f"req-{number}")
             run(world, 12.0)
-        run(world, 120.0, beside)
-        assert not judged(world, beside)
+        run(world, 120.0, room_checker)
+        assert not judged(world, room_checker)
         assert {world.answers[f"req-{number}"][1] for number in (0, 1, 3, 4, 6, 7)} == {"done"}
         assert {world.answers[f"req-{number}"][1] for number in (2, 5)} == {"withdrawn"}
 
@@ -288,7 +290,7 @@
         }
         for name, spec in bound.items():
             world.submit(name, **{**JOB, **spec})
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         run(world, 10.0)
         if lost == "machines":
             for name in [name for name, worker in world.workers.items() if worker.zone == "south"]:
@@ -297,14 +299,14 @@
             cut_zone(world, "south", 2.5 * world.lease_s, True)
             if lost == "zone and leader":
                 world.crash(leader_of(world), 6.0)
-        run(world, 180.0, beside)
-        assert not judged(world, beside)
+        run(world, 180.0, room_checker)
+        assert not judged(world, room_checker)
         assert {world.answers[name][1] for name in ("req-a", "req-s", "req-g")} == {"done"}
         assert world.answers["req-v"][1] == "running"
 
 
 def test_more_work_than_room_urgent_and_not_over_slow_links():
-    """Polls are answered throughout, and all of it is done in the end."""
+    """Polls are answered throughout, and every job completes."""
     for world in small(6):
         for number in range(20):
             world.submit(
@@ -315,11 +317,11 @@
             world.submit(f"req-v{number}", **{**JOB, **SERVICE, "rank": "critical"})
         world.slow.append((world.now + 60.0, 0.3))
         world.held_up.append((world.now + 60.0, 0.3))
-        beside = BesideRoom(world)
+        room_checker = BesideRoom(world)
         began = len(world.log)
-        run(world, 60.0, beside)
+        run(world, 60.0, room_checker)
         polls = [row[4] for row in world.log[began:] if row[1:3] == ("told", "poll")]
         assert polls.count(200) > 0.6 * len(polls) > 100
-        run(world, 150.0, beside)
-        assert not judged(world, beside)
+        run(world, 150.0, room_checker)
+        assert not judged(world, room_checker)
         assert {world.answers[f"req-{number}"][1] for number in range(20)} == {"done"}
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Transactions that are carried out at once and only their answers are lost, and jobs of one task in a stream."""
+"""Transactions that are committed while only their answers are lost, and a stream of single-task jobs."""
 
 import json
 from collections import Counter
@@ -14,16 +14,16 @@
 from tests.test_troubles import ZONES
 
 LIVE = "tidebend/live/"
-AT_FIRST = ("team/", "format", "reads/")  # written as controllers begin
+WRITTEN_AT_START = ("team/", "format", "reads/")  # written when a controller starts
 KINDS = ("job/", "head/", "part/", "block/", "leader", "node/", "quota/", "team/", "format", "reads/", "zone/")
 
 
-def lose(world, wanted):
-    """Of the changes of the state that `wanted` picks, the answers are lost; returns how many there were."""
-    lost, honest = Counter(), World.from_controller
+def lose_answers(world, wanted):
+    """Lose the answers to the changes of the key-value store for which `wanted` is true; return their counter."""
+    lost, original = Counter(), World.from_controller
 
     def from_controller(node, version, address, method, path, body):
-        answer = honest(world, node, version, address, method, path, body)
+        answer = original(world, node, version, address, method, path, body)
         if address == ("state", 1) and method == "POST" and answer[0] == 200 and wanted(path, body):
             lost["all"] += 1
             raise version.no_answer("only the answer is lost")
@@ -42,7 +42,7 @@
     )
 
 
-def day(world):
+def submit_mixed_jobs(world):
     world.submit("req-a", **{**JOB, "pieces": 12, "run_s": 6.0, "vcpus": 1.0})
     world.submit("req-large", **{**JOB, "pieces": 3000, "vcpus": 0.01, "memoryGb": 0.01, "run_s": 3.0})
     world.submit("req-b", **{**JOB, "awaits": ["req-a"], "run_s": 3.0})
@@ -53,35 +53,37 @@
 
 @pytest.mark.parametrize("kind", [*KINDS, "finals", "leases"])
 def test_only_the_answers_are_lost_while_others_read_what_was_written(kind):
-    """The repeat meets its own write, which it doesn't undo, and claims nothing twice; users ask everywhere."""
+    """The retry finds its own write, neither undoes it nor claims anything twice, while users poll every controller."""
     lost = []
 
     def prepare(world):
-        lost.append(lose(world, writes(kind)))
-        world.later.append((world.now + (8.0 if kind in AT_FIRST else 0.0), lambda: vars(world).pop("from_controller")))
+        lost.append(lose_answers(world, writes(kind)))
+        world.later.append(
+            (world.now + (8.0 if kind in WRITTEN_AT_START else 0.0), lambda: vars(world).pop("from_controller"))
+        )
 
     for world in small(1, prepare=prepare):
         world.looks_until = world.now + 40.0
-        beside = BesideRoom(world)
-        day(world)
+        room_checker = BesideRoom(world)
+        submit_mixed_jobs(world)
         for number in range(5):
             run(world, (0.0, 0.5, 3.0, 3.0, 3.0)[number])
             if kind in ("block/", "leader", "node/", "zone/", "leases", "reads/"):
                 world.crash(world.nodes[number % 3], (0.3, 6.0)[number % 2])
-            lost.append(lose(world, writes(kind)))
+            lost.append(lose_answers(world, writes(kind)))
             run(world, (2.0, 6.0)[number % 2])
             del world.from_controller
             if number == 2:
                 world.cancel("req-l")
-        run(world, 100.0, beside)
-        assert not judged(world, beside)
-        off = {row[3] for row in world.log if row[1:3] == ("asked", "cancel")}  # by those who look closely, too
+        run(world, 100.0, room_checker)
+        assert not judged(world, room_checker)
+        cancelled = {row[3] for row in world.log if row[1:3] == ("asked", "cancel")}  # also by users who poll closely
         expected = {"req-a": "done", "req-large": "done", "req-g": "done", "req-v": "running"}
-        for name in expected.keys() - off:
+        for name in expected.keys() - cancelled:
             assert world.user("poll", name)[1] == expected[name], name
-        for name in off:
+        for name in cancelled:
             assert world.user("poll", name)[1] in ("withdrawn", "done")
-        assert "req-b" in off or world.user("poll", "req-b")[1] == world.user("poll", "req-a")[1]
+        assert "req-b" in cancelled or world.user("poll", "req-b")[1] == world.user("poll", "req-a")[1]
         assert sum(row["all"] for row in lost) > 0
 
 
@@ -90,7 +92,7 @@
     for world in small(2):
         if action == "cancel":
             ask(world, "submit", "req-x", "n1")
-        lost = lose(world, lambda path, body: path == "/multi" and "req-x" in json.dumps(body))
+        lost = lose_answers(world, lambda path, body: path == "/multi" and "req-x" in json.dumps(body))
         status, state = ask(world, action, "req-x", "n0")
         del world.from_controller
         assert lost["all"] == 1
@@ -102,15 +104,15 @@
 
 
 def test_jobs_of_one_task_four_a_second_for_minutes():
-    """A quarter of them is called off, at all times of their lives. What one costs at the state service is bounded, and
-    so is what is kept of those that are over."""
+    """A quarter of them is cancelled, at any stage. The changes to the key-value store per job are bounded, and so is
+    what controllers keep about finished jobs."""
     for world in small(3, limits={"rps": 120.0, "write_rps": 30.0, "txn_ops": 16}):
         for zone in ZONES:
             world.cloud.capacity["box", zone, False] = 12
             for _ in range(6):
                 world.cloud.add("box", zone, False, -50.0)
         run(world, 10.0)
-        beside, asked = BesideRoom(world), 0
+        room_checker, asked = BesideRoom(world), 0
         before, began = Counter(world.state.counts), world.now
         for _ in range(150):
             for number in range(asked, asked + 4):
@@ -120,31 +122,31 @@
                     delay = (0.3, 2.0, 5.0, 8.0)[number // 4 % 4]
                     world.later.append((world.now + delay, partial(world.cancel, name)))
             asked += 4
-            run(world, 1.0, beside)
-            # users stop asking about what is over
+            run(world, 1.0, room_checker)
+            # Users stop polling finished jobs.
             for name in [name for name in world.polls if world.answers[name][1] in ("done", "withdrawn")]:
                 del world.polls[name]
         changes = (world.state.counts["changes"] - before["changes"]) / asked
-        failed = (world.state.counts["conflicts"] - before["conflicts"]) / asked
-        run(world, 60.0, beside)
+        conflicts = (world.state.counts["conflicts"] - before["conflicts"]) / asked
+        run(world, 60.0, room_checker)
         answers = Counter(world.answers[f"req-{n}"][1] for n in range(asked))
         assert set(answers) == {"done", "withdrawn"}
         assert answers["done"] > 0.6 * asked
         polls = [row[4] for row in world.log if row[1:3] == ("told", "poll")]
         assert polls.count(200) > 0.97 * len(polls)
-        assert changes < 4.5, (changes, failed)
-        assert failed < 0.3, (changes, failed)
+        assert changes < 4.5, (changes, conflicts)
+        assert conflicts < 0.3, (changes, conflicts)
         for controller in world.controllers.values():
             assert len(controller.job_cache.jobs) < 3
             assert not controller.job_cache.machines_with_allocations() - world.workers.keys()
-            # no request is under way between steps, so that nothing but the newest read's deletions is kept
+            # No request is in flight between steps, so that only tombstones of the newest read are kept.
             assert len(controller.cache._tombstones) <= 20, len(controller.cache._tombstones)
             assert len(controller.scheduling_loop.claim_stagger._since) < 3
             assert len(controller.scheduling_loop.allocator.last_allocation) < 3
             assert len(controller.autoscaler.cancelled_work._cancelled_since) < 3
             assert len(controller.scheduling_loop.completions.recorder._waiting_since) < 3
-        late = [after for _, after in starts_after_cancellation(world.log)]
-        assert len(late) <= 0.02 * asked, late
-        assert max(late, default=0.0) < 2.0, late
+        late_starts_s = [after for _, after in starts_after_cancellation(world.log)]
+        assert len(late_starts_s) <= 0.02 * asked, late_starts_s
+        assert max(late_starts_s, default=0.0) < 2.0, late_starts_s
         assert world.now - began > 200.0
-        assert not judged(world, beside)
+        assert not judged(world, room_checker)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,4 +1,4 @@
-"""Meetings of two troubles: one after the other hides from a holder what the first has changed."""
+"""Combinations of two troubles, of which the second hides from a shard's holder what changed during the first."""
 
 import random
 from dataclasses import replace
@@ -17,7 +17,8 @@
 from tidebend.cluster_state.reconciliation import commands_for
 from tidebend.protocol import TaskReport, parse_job
 
-REPORT, CONTROLLER, WORKER = 1.0, 3.5, 10.0  # seconds: a report's interval, a controller's lease, a worker's
+# Seconds: heartbeat interval, controller lease, worker lease.
+REPORT_S, CONTROLLER_LEASE_S, WORKER_LEASE_S = 1.0, 3.5, 10.0
 
 
 def leader_of(world):
@@ -25,7 +26,7 @@
 
 
 def refused_then_down(world, refused_s, gap_s, outage_s, how="refuse"):
-    """The state service refuses the leader alone, jobs are cancelled through another, then it is down for all."""
+    """Let the key-value store refuse only the leader, cancel jobs through another controller, then stop the store."""
     leader = leader_of(world)
     other = world.next_node(leader)
     if how == "refuse":
@@ -51,14 +52,14 @@
 @pytest.mark.parametrize(
     ("refused_s", "gap_s", "outage_s", "how", "also"),
     [
-        (0.5 * REPORT, 0.2, 40.0, "refuse", ""),
-        (REPORT, 0.3, 40.0, "refuse", ""),
-        (3 * REPORT, 2.0, 40.0, "refuse", ""),
-        (0.8 * CONTROLLER, 2.0, 60.0, "refuse", ""),
-        (CONTROLLER, 3.0, 60.0, "refuse", ""),
-        (2 * CONTROLLER, 4.0, 60.0, "refuse", ""),
-        (0.9 * WORKER, 8.0, 60.0, "refuse", ""),
-        (1.5 * WORKER, WORKER, 60.0, "refuse", ""),
+        (0.5 * REPORT_S, 0.2, 40.0, "refuse", ""),
+        (REPORT_S, 0.3, 40.0, "refuse", ""),
+        (3 * REPORT_S, 2.0, 40.0, "refuse", ""),
+        (0.8 * CONTROLLER_LEASE_S, 2.0, 60.0, "refuse", ""),
+        (CONTROLLER_LEASE_S, 3.0, 60.0, "refuse", ""),
+        (2 * CONTROLLER_LEASE_S, 4.0, 60.0, "refuse", ""),
+        (0.9 * WORKER_LEASE_S, 8.0, 60.0, "refuse", ""),
+        (1.5 * WORKER_LEASE_S, WORKER_LEASE_S, 60.0, "refuse", ""),
         (14.0, 2.0, 20.0, "refuse", ""),
         (14.0, 2.0, 30.0, "refuse", ""),
         (14.0, 2.0, 51.0, "refuse", "twice"),
@@ -71,7 +72,7 @@
     ],
 )
 def test_what_is_cancelled_elsewhere_is_gone_in_time_though_nothing_is_read(refused_s, gap_s, outage_s, how, also):
-    """Its holder answers workers for no longer than `staleness_bound_s` after its last read."""
+    """The shard's holder answers reports for at most `staleness_bound_s` after its last read."""
     random.seed(1)
     world = World(1, ZONES, TEAMS, [{**TYPES[0], "harbors": ZONES}])
     for zone in ZONES:
@@ -89,7 +90,7 @@
     with world.clock():
         for _ in range(150):
             world.step()
-        assert world.zone_of(leader_of(world)) == "west"  # where they are
+        assert world.zone_of(leader_of(world)) == "west"  # the zone of the jobs
         for _ in range(2 if also == "twice" else 1):
             leader = leader_of(world)
             if also == "unread before":
@@ -118,8 +119,10 @@
 
 
 def test_machines_that_reported_through_an_outage_are_not_given_back_when_it_is_over():
-    """Their reports were refused once our last read was too old, and then they counted as silent: of a fleet that had
-    come through, most machines were given back in the first moment after the outage."""
+    """Reports are refused once the cache is too stale; that must not count as silence of the machines.
+
+    Otherwise most machines that survived the outage are released as soon as it is over.
+    """
     for world in busy_world(1, 1.0, 10.0):
         used = {worker.name for worker in world.workers.values() if worker.tasks}
         world.state.down(world.now + 60.0)
@@ -130,7 +133,7 @@
 
 
 def test_an_answered_request_that_is_no_read_makes_the_cache_no_younger():
-    """Renewals, writes and looked-up keys were taken for contact; none of them tells what others have changed."""
+    """Lease renewals, writes and reads of single keys do not show what other controllers have changed."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         began = first.cache.as_of
@@ -148,7 +151,7 @@
 
 
 def test_a_read_counts_from_when_it_began_however_long_it_took():
-    """A watch proves what it began with: what was confirmed while it hung may be missing from its answer."""
+    """A watch proves the state at its start: changes committed while it was pending may be missing from its answer."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         changes = first.state.changes
@@ -166,24 +169,24 @@
 
 
 def test_stops_come_before_hundreds_of_starts():
-    """An answer holds a few hundred commands: stops of what is cancelled stood behind starts and were cut off."""
+    """An answer holds a few hundred commands: stops of cancelled tasks listed after the starts would be cut off."""
     small = {**JOB, "pieces": 400, "vcpus": 0.01, "memoryGb": 0.01}
     waiting = Job("a", 1, parse_job(small), 0.0).with_allocations(
         [Allocation("vm-000000", 1, 1, (1 << 400) - 1, 0.0, "north")]
     )
-    over = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_allocations(
+    cancelled = Job("b", 1, parse_job(small), 0.0, cancelled=True).with_allocations(
         [Allocation("vm-000000", 1, 1, 1, 0.0, "north")]
     )
     machine = Machine("vm-000000", "box", "north", False, session=1, token=5)
     machine.tasks = {("b", 0, 1): TaskReport("b", 0, 1, "running", None, False)}
-    allocations = [(job, allocation) for job in (waiting, over) for allocation in job.allocations]
+    allocations = [(job, allocation) for job in (waiting, cancelled) for allocation in job.allocations]
     commands = commands_for(machine, allocations, 5, direct=False)
     assert (commands[0].op, commands[0].job) == ("stop", "b")
     assert len(commands) == 401
 
 
 def test_without_a_lease_only_what_is_cancelled_is_commanded():
-    """A report was answered without any command while our lease had run out, and cancelled tasks ran on."""
+    """Reports answered without any command after the lease expired would leave cancelled tasks running."""
     for world in busy_world(1, 1.0, 10.0):
         first = world.controllers["n0"]
         worker = next(worker for worker in world.workers.values() if worker.zone == "north")
@@ -208,7 +211,7 @@
 
 
 def test_an_announcement_that_is_carried_out_late_changes_nothing():
-    """It had no condition: an old list of unheard blocks stood for good."""
+    """A delayed announcement without a compare-and-swap condition would restore an old list of unreachable shards."""
     for world in busy_world(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
         first.cache.catch_up(0.0, "claim")
@@ -226,7 +229,7 @@
 
 
 def test_an_announcement_that_failed_is_made_with_the_next_renewal():
-    """A new lease without an announcement was renewed for ever, and its controller got no block."""
+    """A new lease renewed without its announcement would leave the controller without shards."""
     for world in busy_world(1, 1.0, 10.0):
         first = first_of(world)
         session_lease = first.coordinator.session_lease
@@ -242,7 +245,8 @@
 
 
 def test_a_former_processs_announcement_does_not_outlive_it():
-    """Carried out after its successor's, it hung the record on the former lease, with which it went away."""
+    """An announcement executed after the new process's one would attach the record to the former lease, and the record
+    would be deleted when that lease expires."""
     for world in busy_world(1, 1.0, 10.0):
         first, key = first_of(world), "tidebend/live/node/n0"
         world.late_writes.append((world.now + 1.0, 1.0))
@@ -263,7 +267,7 @@
     [{"came": 3}, {"came": {"north.0": "x"}}, {"machines": 5}, {"state_contact": None}, {"blocks": [1]}, {"held": 1}],
 )
 def test_a_peers_frame_that_cannot_be_read_changes_nothing(changes):
-    """One whose `came` was no map ended its connection's thread, and others were taken over by half."""
+    """A frame whose `came` is not a map must not end the connection's thread, nor any invalid frame apply in part."""
     for world in busy_world(1, 1.0, 10.0):
         first, second = first_of(world), world.controllers["n1"]
         before = repr(first.peer_exchange.peers["n1"])
@@ -274,8 +278,10 @@
 
 @pytest.mark.parametrize(("report_s", "lease_s", "cancel_s"), [(1.0, 10.0, 35.0), (3.0, 14.0, 39.0)])
 def test_an_outage_that_the_staleness_bound_covers_ends_no_session(report_s, lease_s, cancel_s):
-    """Reports under way were taken off the bound, though a lease counts from when its report was sent: outages that
-    could have been survived cost every task."""
+    """Time for reports in flight must not be subtracted from the bound: a lease counts from when its report was sent.
+
+    Otherwise outages that could be survived end every task.
+    """
     for world in busy_world(1, report_s, lease_s, cancel_s):
         sessions = {worker.name: worker.session for worker in world.workers.values()}
         for _ in range(30):
@@ -287,11 +293,11 @@
 
 
 def test_a_lease_that_was_renewed_holds_though_the_announcement_is_refused():
-    """Both were one step: while our changes were refused for their rate, a renewed lease counted as lost."""
+    """A renewed lease must not count as lost while the announcement is refused by rate limiting."""
     for world in busy_world(1, 1.0, 10.0):
         first = first_of(world)
         world.state.limits["write_rps"] = 0.0
-        # so that there is something to announce
+        # Gives the controller something to announce.
         first.coordinator.announcement._unreachable_until["south.0"] = world.steady + 30.0
         world.steady += 3.0
         began = world.steady
@@ -300,7 +306,10 @@
 
 
 def test_no_block_stays_where_two_time_outs_would_cost_its_workers_their_leases():
-    """One controller was away for long and the one before it stood still: its workers came to the third too late."""
+    """With one controller down for long and the next one frozen, workers time out twice before they reach the third.
+
+    The shard must move so early that their leases do not expire.
+    """
     for world in busy_world(1, 1.0, 10.0):
         world.crash("n1", 120.0)
         for _ in range(300):
