--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -159,10 +159,10 @@
         )
     found = "\n".join(loopback.check())
     for word in (
-        "ran twice",
-        "never came to its end",
-        "told ['cancelled', 'done']",
+        "two attempts ran at the same time",
+        "the task never ended",
+        "conflicting final answers ['cancelled', 'done']",
         "began 20.0 s after",
-        "on vm-1 and vm-2 at once",
+        "ran on vm-1 and vm-2 at the same time",
     ):
         assert word in found
--- a/tools/bench_agents.py
+++ b/tools/bench_agents.py
@@ -1,9 +1,10 @@
-"""Many light agents over real sockets, reporting to one control service: what they cost, and how soon a task starts.
+"""Benchmark of the control service with many simulated agents: CPU, memory and the latency of a task's start.
 
     python3 -m tools.bench_agents --dir DIR [--agents 50 100 200 400] [--seconds 20]
 
-Light agents speak the protocol (reports, orders, tokens) and start nothing: a start is the moment at which the order
-comes. `--real` measures one real agent instead, from the submission to the first line of the task.
+Simulated agents use real sockets and the full protocol (reports, commands, fencing tokens) but start no processes: a
+task counts as started when its start command arrives. `--real` measures one real agent instead, from the submission to
+the first line of the task.
 Needs requirements-bench.txt.
 """
 
@@ -39,14 +40,14 @@
   agents    = %d
 }
 """
-TICK = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-class Light:
-    """An agent that starts nothing."""
+class SimulatedAgent:
+    """Simulated agent that starts no processes."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, bench: Bench) -> None:
+        self.bench = bench
         self.name, self.token, self.sequence = "", 0, 0
         self.tasks: dict[str, dict] = {}
         self.address = ""
@@ -54,22 +55,22 @@
 
     async def call(self, method: str, path: str, body: dict) -> tuple[int, dict]:
         if self.writer is None:
-            self.reader, self.writer = await asyncio.open_connection(*self.world.control)
-        return await exchange(self.reader, self.writer, method, path, body, self.world.key)
+            self.reader, self.writer = await asyncio.open_connection(*self.bench.control)
+        return await exchange(self.reader, self.writer, method, path, body, self.bench.key)
 
     async def run(self) -> None:
-        server = await asyncio.start_server(self.commands_for, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve_commands, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         _, joined = await self.call("POST", "/desk/agents", {"nonce": uuid.uuid4().hex, "kind": "light", "label": "l"})
         self.name = joined["machine"]
         while True:
             began = time.monotonic()
             status, answer = await self.call("POST", "/v1/report", self.body())
-            self.world.reports += 1
+            self.bench.reports += 1
             if status == 200 and answer["helm"] >= self.token:
                 self.token = answer["helm"]
-                self.obey(answer["orders"])
-            rest = self.world.report_s * random.uniform(0.75, 1.25) - (time.monotonic() - began)
+                self.execute(answer["orders"])
+            rest = self.bench.report_s * random.uniform(0.75, 1.25) - (time.monotonic() - began)
             await asyncio.sleep(max(0.0, rest))
 
     def body(self) -> dict:
@@ -87,36 +88,38 @@
             "pieces": list(self.tasks.values()),
         }
 
-    def obey(self, commands_for: list[dict]) -> None:
-        for order in commands_for:
+    def execute(self, commands: list[dict]) -> None:
+        for order in commands:
             task = order["piece"]
             if order["order"] == "start" and task not in self.tasks:
-                self.world.started[task] = time.monotonic()
-                # over at once: the next report says so
+                self.bench.started[task] = time.monotonic()
+                # The task ends at once; the next report shows it.
                 self.tasks[task] = {"piece": task, "launch": order["launch"], "tide": "ended", "cause": "done"}
             elif order["order"] == "clear":
                 self.tasks.pop(task, None)
 
-    async def commands_for(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_commands(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
-            head, body = await message(reader)
+            head, body = await read_message(reader)
             if head is None:
                 return
             if body and body["watch"] == 1 and body["helm"] >= self.token:
                 self.token = body["helm"]
-                self.obey(body["orders"])
+                self.execute(body["orders"])
             data = json.dumps(self.body()).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(data), data))
 
 
-class World:
+class Bench:
+    """State shared by the simulated agents."""
+
     def __init__(self, control: tuple[str, int], key: str, report_s: float) -> None:
         self.control, self.key, self.report_s = control, key, report_s
         self.started: dict[str, float] = {}
         self.reports = 0
 
 
-async def message(reader: asyncio.StreamReader) -> tuple[str | None, dict | None]:
+async def read_message(reader: asyncio.StreamReader) -> tuple[str | None, dict | None]:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         lengths = [line.partition(":")[2] for line in head.split("\r\n") if line.lower().startswith("content-length")]
@@ -133,22 +136,22 @@
         f"Content-Length: {len(data)}\r\n\r\n".encode()
         + data
     )
-    head, answer = await message(reader)
+    head, answer = await read_message(reader)
     if head is None:
         raise ConnectionError
     return int(head.split()[1]), answer or {}
 
 
-def usage(pid: int) -> tuple[float, float, int]:
-    """Processor seconds, MB of memory, threads."""
+def process_usage(pid: int) -> tuple[float, float, int]:
+    """Return a process's CPU seconds, resident memory in MB and number of threads."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     memory = int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / 1e6
-    return (int(fields[11]) + int(fields[12])) / TICK, memory, int(fields[17])
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, memory, int(fields[17])
 
 
-def start(directory: Path, real: int) -> tuple[subprocess.Popen, ApiClient]:
+def start_control_service(directory: Path, real_agents: int) -> tuple[subprocess.Popen, ApiClient]:
     directory.mkdir(parents=True)
-    (directory / "control.hcl").write_text(SETTINGS % real)
+    (directory / "control.hcl").write_text(SETTINGS % real_agents)
     environment = {**os.environ, "PYTHONPATH": os.pathsep.join([str(ROOT), *(part for part in sys.path if part)])}
     with open(directory / "log", "wb") as out:
         control = subprocess.Popen(
@@ -171,29 +174,29 @@
     return control, ApiClient(directory)
 
 
-async def light(directory: Path, agents: int, seconds: float) -> dict[str, float]:
-    control, desk = start(directory, 0)
+async def bench_simulated_agents(directory: Path, agents: int, seconds: float) -> dict[str, float]:
+    control, api_client = start_control_service(directory, 0)
     try:
-        host, _, port = desk.address.rpartition(":")
-        world = World((host, int(port)), Keyring(directory / "keys.json").bearer_token(), 1.0)
-        running = [asyncio.create_task(Light(world).run()) for _ in range(agents)]
+        host, _, port = api_client.address.rpartition(":")
+        bench = Bench((host, int(port)), Keyring(directory / "keys.json").bearer_token(), 1.0)
+        running = [asyncio.create_task(SimulatedAgent(bench).run()) for _ in range(agents)]
         loop = asyncio.get_running_loop()
-        while len(await loop.run_in_executor(None, desk.agents)) < agents:
+        while len(await loop.run_in_executor(None, api_client.agents)) < agents:
             await asyncio.sleep(0.2)
         await asyncio.sleep(3.0)
-        reports, before, began = world.reports, usage(control.pid), time.monotonic()
+        reports, before, began = bench.reports, process_usage(control.pid), time.monotonic()
         await asyncio.sleep(seconds)
-        after, passed = usage(control.pid), time.monotonic() - began
-        reports = world.reports - reports
+        after, passed = process_usage(control.pid), time.monotonic() - began
+        reports = bench.reports - reports
         histogram = HdrHistogram(1, 60_000_000, 3)
         for _ in range(60):
-            ready = single_job(JobBlock(command=["true"]), "bench")
-            asked = time.monotonic()
-            await loop.run_in_executor(None, desk.submit, ready)
-            task = f"{ready.job}/0"
-            while task not in world.started:
+            submission = single_job(JobBlock(command=["true"]), "bench")
+            submitted_at = time.monotonic()
+            await loop.run_in_executor(None, api_client.submit, submission)
+            task = f"{submission.job}/0"
+            while task not in bench.started:
                 await asyncio.sleep(0.001)
-            histogram.record_value(int((world.started[task] - asked) * 1e6))
+            histogram.record_value(int((bench.started[task] - submitted_at) * 1e6))
             await asyncio.sleep(0.2)
         for each in running:
             each.cancel()
@@ -212,22 +215,24 @@
         control.wait(20.0)
 
 
-def real(directory: Path, tasks: int) -> dict[str, float]:
-    control, desk = start(directory, 1)
+def bench_real_agent(directory: Path, tasks: int) -> dict[str, float]:
+    control, api_client = start_control_service(directory, 1)
     try:
-        while not any(row["heard_s_ago"] is not None for row in desk.agents()):
+        while not any(row["heard_s_ago"] is not None for row in api_client.agents()):
             time.sleep(0.2)
         time.sleep(2.0)
         histogram = HdrHistogram(1, 60_000_000, 3)
         log = directory / "begun"
         for number in range(tasks):
-            ready = single_job(JobBlock(command=["sh", "-c", f"cut -d' ' -f1 /proc/uptime; date +%s.%N >> {log}"]), "b")
-            asked = time.time()
-            desk.submit(ready)
+            submission = single_job(
+                JobBlock(command=["sh", "-c", f"cut -d' ' -f1 /proc/uptime; date +%s.%N >> {log}"]), "b"
+            )
+            submitted_at = time.time()
+            api_client.submit(submission)
             while not log.exists() or len(log.read_text().splitlines()) <= number:
                 time.sleep(0.002)
-            histogram.record_value(int((float(log.read_text().splitlines()[number]) - asked) * 1e6))
-            time.sleep(0.8)  # the machine is idle again
+            histogram.record_value(int((float(log.read_text().splitlines()[number]) - submitted_at) * 1e6))
+            time.sleep(0.8)  # lets the machine become idle again
         return {
             "real agents": 1,
             "starts": tasks,
@@ -247,10 +252,13 @@
     parser.add_argument("--real", action="store_true")
     arguments = parser.parse_args()
     if arguments.real:
-        print(json.dumps(real(arguments.dir / "real", 60)), flush=True)
+        print(json.dumps(bench_real_agent(arguments.dir / "real", 60)), flush=True)
         return 0
     for agents in arguments.agents:
-        print(json.dumps(asyncio.run(light(arguments.dir / str(agents), agents, arguments.seconds))), flush=True)
+        print(
+            json.dumps(asyncio.run(bench_simulated_agents(arguments.dir / str(agents), agents, arguments.seconds))),
+            flush=True,
+        )
     return 0
 
 
--- a/tools/bench_store.py
+++ b/tools/bench_store.py
@@ -1,8 +1,8 @@
-"""The embedded state service under load: SQLite against LMDB, with shared syncs and without, side by side.
+"""Benchmark of the embedded key-value store: SQLite and LMDB, with and without group commit.
 
     python3 -m tools.bench_store --dir DIR [--seconds 3] [--keys 10000 100000 1000000]
 
-DIR decides which disk is measured. Needs requirements-bench.txt.
+DIR selects the disk to measure. Needs requirements-bench.txt.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 VALUE = json.dumps({"claims": "x" * 280}).encode()
 
 
-class Lmdb:
-    """As much of the engine over LMDB as a comparison needs: one writer, the works that wait in one transaction."""
+class LmdbStore:
+    """Minimal store on LMDB for comparison: a single writer thread that commits queued operations together."""
 
-    def __init__(self, directory: Path, most: int) -> None:
+    def __init__(self, directory: Path, max_operations: int) -> None:
         directory.mkdir(parents=True)
-        self._most = most
+        self._max_batch = max_operations
         self._open(directory)
-        self._works: queue.Queue = queue.Queue()
+        self._queue: queue.Queue = queue.Queue()
         self._thread = threading.Thread(target=self._write, daemon=True)
         self._thread.start()
 
@@ -46,19 +46,19 @@
 
     def transact(self, conditions: dict[str, int], writes: list[Write]) -> int:
         answer: Future = Future()
-        self._works.put((conditions, writes, answer))
+        self._queue.put((conditions, writes, answer))
         return answer.result()
 
     def _write(self) -> None:
         while True:
-            works = [self._works.get()]
-            while len(works) < self._most and not self._works.empty():
-                works.append(self._works.get_nowait())
-            if works[-1] is None:
+            batch = [self._queue.get()]
+            while len(batch) < self._max_batch and not self._queue.empty():
+                batch.append(self._queue.get_nowait())
+            if batch[-1] is None:
                 return
             outcomes = []
             with self._env.begin(write=True) as writing:
-                for conditions, writes, answer in works:
+                for conditions, writes, answer in batch:
                     failed = [
                         key
                         for key, version in conditions.items()
@@ -79,13 +79,13 @@
                     answer.set_result(outcome)
 
     def close(self) -> None:
-        self._works.put(None)
+        self._queue.put(None)
         self._thread.join(5.0)
         self._env.close()
 
 
-def load(store: Engine | Lmdb, clients: int, seconds: float) -> dict[str, float]:
-    """Each client changes keys of its own, each change conditional on the last."""
+def run_load(store: Engine | LmdbStore, clients: int, seconds: float) -> dict[str, float]:
+    """Run clients that write to their own keys, each write conditional on the key's last revision."""
     histograms = [HdrHistogram(1, 60_000_000, 3) for _ in range(clients)]
     counts = [0] * clients
     end = time.monotonic() + seconds
@@ -138,7 +138,7 @@
     env.close()
 
 
-def starts(root: Path, keys: int) -> dict[str, float]:
+def measure_open(root: Path, keys: int) -> dict[str, float]:
     fill_sqlite(root / "sqlite", keys)
     fill_lmdb(root / "lmdb", keys)
     began = time.perf_counter()
@@ -170,25 +170,25 @@
     arguments = parser.parse_args()
     root = arguments.dir / "bench-store"
     shutil.rmtree(root, ignore_errors=True)
-    kinds = {
+    stores = {
         "sqlite, shared syncs": lambda place: Engine(place),
         "sqlite, one a sync": lambda place: Engine(place),
-        "lmdb, shared syncs": lambda place: Lmdb(place, 256),
-        "lmdb, one a sync": lambda place: Lmdb(place, 1),
+        "lmdb, shared syncs": lambda place: LmdbStore(place, 256),
+        "lmdb, one a sync": lambda place: LmdbStore(place, 1),
     }
-    most = commit_queue.MAX_OPERATIONS_PER_COMMIT
-    for turn in range(arguments.rounds):
+    max_operations = commit_queue.MAX_OPERATIONS_PER_COMMIT
+    for round_number in range(arguments.rounds):
         for clients in (1, 8, 32):
-            for name, make in kinds.items():
-                commit_queue.MAX_OPERATIONS_PER_COMMIT = 1 if "one" in name else most
-                store = make(root / f"{turn}-{clients}-{name.replace(' ', '')}")
+            for name, make in stores.items():
+                commit_queue.MAX_OPERATIONS_PER_COMMIT = 1 if "one" in name else max_operations
+                store = make(root / f"{round_number}-{clients}-{name.replace(' ', '')}")
                 print(
-                    json.dumps({"store": name, "clients": clients, **load(store, clients, arguments.seconds)}),
+                    json.dumps({"store": name, "clients": clients, **run_load(store, clients, arguments.seconds)}),
                     flush=True,
                 )
                 store.close()
     for keys in arguments.keys:
-        print(json.dumps(starts(root / str(keys), keys)), flush=True)
+        print(json.dumps(measure_open(root / str(keys), keys)), flush=True)
     shutil.rmtree(root, ignore_errors=True)
     return 0
 
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -1,11 +1,11 @@
-"""The loopback test: real processes, both sides killed at random moments, and a checker of what everybody saw.
+"""Loopback test: kill real control service and agent processes at random times and check what tasks and users saw.
 
     python3 -m tools.loopback --seconds 1200 --seed 7 --dir DIR
 
-Jobs of all kinds are submitted without pause. Meanwhile the control service and agents are killed, stopped and
-continued, apart and together, by a seed that is printed. In the end everything must come to its end, and the checker
-reads three independent accounts: what the tasks themselves wrote (each holds a lock of the system for its life, so that
-two at once show), the agents' own histories, and every answer that a user got.
+Jobs of all kinds are submitted continuously. Meanwhile the control service and the agents are killed, stopped and
+continued, separately and together, according to a printed seed. Finally every job must reach a final state. The checker
+reads three independent sources: the log written by the tasks (each holds a file lock while it runs, which reveals
+concurrent attempts), the agents' event logs, and all answers to users.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 }}
 """
 
-# holds a lock as long as it or anything it started lives; a second one at the same time finds it taken
+# Holds a file lock until the task and all its child processes have ended, which a concurrent attempt finds taken.
 TASK = """
 exec 9>>"$E/locks/$TIDEBEND_JOB.$TIDEBEND_TASK"
 flock -n 9 || echo "twice $TIDEBEND_JOB/$TIDEBEND_TASK $TIDEBEND_ATTEMPT 0" >> "$E/log"
@@ -69,8 +69,8 @@
 class SubmittedJob:
     ready: JobSubmission
     accepted: bool = False
-    cancel_at: float | None = None  # when its user will ask
-    cancelled_at: float | None = None  # uptime at which he was told so
+    cancel_at: float | None = None  # monotonic time at which the user cancels it
+    cancelled_at: float | None = None  # uptime at which the user received the answer "cancelled"
     answers: list[tuple[float, str]] = field(default_factory=list)
 
 
@@ -93,13 +93,13 @@
         self.far: subprocess.Popen | None = None
         self.control_back_at = 0.0
         self.far_back_at = 0.0
-        self.stopped: dict[int, float] = {}  # process -> when it goes on
+        self.stopped: dict[int, float] = {}  # pid -> time at which it is continued
         self.jobs: dict[str, SubmittedJob] = {}
         self.counts: Counter[str] = Counter()
         self.api_client: ApiClient | None = None
         self.breaches: list[str] = []
 
-    # Both sides
+    # Control service and agents
 
     def _spawn(self, *words: str, **more: str) -> subprocess.Popen:
         with open(self.directory / f"{words[0]}.log", "ab") as out:
@@ -113,7 +113,10 @@
             )
 
     def start_control(self, fault: str = "", agent_fault: str = "") -> None:
-        """`fault`: a point at which it is killed; `agent_fault`: one at which the first agent that it starts is."""
+        """Start the control service.
+
+        `fault`: fault point at which it is killed; `agent_fault`: the same for the first agent that it starts.
+        """
         self.control = self._spawn(
             "control",
             "--config",
@@ -141,25 +144,25 @@
         )
         self.far = self._spawn("agent", "--config", str(path))
 
-    def _agents(self) -> list[int]:
-        """Processes of the agents that the control service started."""
+    def _agent_pids(self) -> list[int]:
+        """Return the pids of the agents that the control service started."""
         found = []
         for place in (self.data / "agents").glob("vm-*"):
             done = subprocess.run(["pgrep", "-f", f"agent --config {place}/agent.hcl"], capture_output=True, text=True)
             found += [int(pid) for pid in done.stdout.split()]
         return found
 
-    def _signal(self, pid: int, number: int) -> None:
+    def _send_signal(self, pid: int, number: int) -> None:
         try:
             os.kill(pid, number)
         except ProcessLookupError:
             return
 
-    # Troubles
+    # Injected failures
 
-    def trouble(self) -> None:
+    def inject_failure(self) -> None:
         now = time.monotonic()
-        agents = self._agents()
+        agents = self._agent_pids()
         kind = self.random.choice(
             [
                 "control",
@@ -178,13 +181,13 @@
         self.counts[kind] += 1
         if kind in ("control", "both", "long") and self.control.poll() is None:
             self.control.kill()
-            # "long": longer than the agents' lease, so that everything they run ends
+            # "long": longer than the agents' lease, so that they end all their tasks.
             self.control_back_at = now + (self.random.uniform(0, 2.5) if kind != "long" else 1.5 * LEASE_S)
         if kind in ("agent", "both") and agents:
-            self._signal(self.random.choice(agents), signal.SIGKILL)
+            self._send_signal(self.random.choice(agents), signal.SIGKILL)
         if kind == "all agents":
             for pid in agents:
-                self._signal(pid, signal.SIGKILL)
+                self._send_signal(pid, signal.SIGKILL)
         if kind == "far" and self.far.poll() is None:
             self.far.kill()
             self.far_back_at = now + self.random.uniform(0, 4.0)
@@ -195,7 +198,7 @@
                 "stop control": self.control.pid,
             }[kind]
             if pid is not None:
-                self._signal(pid, signal.SIGSTOP)
+                self._send_signal(pid, signal.SIGSTOP)
                 most = 2.0 * LEASE_S if kind != "stop control" else 1.2 * LEASE_S
                 self.stopped[pid] = now + self.random.uniform(0.2, most)
 
@@ -204,7 +207,7 @@
         for pid, until in list(self.stopped.items()):
             if now >= until:
                 del self.stopped[pid]
-                self._signal(pid, signal.SIGCONT)
+                self._send_signal(pid, signal.SIGCONT)
         if self.control.poll() is not None and now >= self.control_back_at:
             self.start_control(*self._random_faults())
         if self.far.poll() is not None and now >= self.far_back_at:
@@ -219,7 +222,7 @@
         script = script.replace("{trap}", draw.choice(["", "", "", "trap '' TERM"]))
         script = script.replace("{child}", draw.choice(["", "", "", "setsid sleep 30 &"]))
         tasks = {"array": draw.randint(1, 8), "gang": draw.randint(2, 4), "service": 2}.get(kind, 2)
-        shard = JobBlock(
+        block = JobBlock(
             command=["sh", "-c", script],
             kind=kind if kind != "chain" else "array",
             tasks=tasks,
@@ -235,7 +238,7 @@
         dependencies = (draw.choice(earlier),) if kind == "chain" and earlier else ()
         name = new_job_id(kind)
         row = self.jobs[name] = SubmittedJob(
-            JobSubmission(name, kind, shard.spec(kind), shard.description(), dependencies)
+            JobSubmission(name, kind, block.spec(kind), block.description(), dependencies)
         )
         if kind == "service":
             row.cancel_at = time.monotonic() + draw.uniform(1.0, 6.0)
@@ -243,7 +246,7 @@
             row.cancel_at = time.monotonic() + draw.uniform(0.0, 3.0)
 
     def poll_jobs(self) -> None:
-        """One round: whoever has no answer yet asks again."""
+        """Run one round: submit, cancel or poll each job without a final answer, and poll some that have one."""
         for name, row in self.jobs.items():
             try:
                 if not row.accepted:
@@ -252,19 +255,19 @@
                 elif row.answers and row.answers[-1][1] in ("done", "cancelled") and self.random.random() > 0.02:
                     continue
                 elif row.cancel_at is not None and row.cancelled_at is None and time.monotonic() >= row.cancel_at:
-                    self._told(row, self.api_client.cancel(name))
+                    self._record_answer(row, self.api_client.cancel(name))
                     if row.answers[-1][1] == "cancelled":
                         row.cancelled_at = _uptime()
                 else:
-                    self._told(row, self.api_client.job(name)["state"])
+                    self._record_answer(row, self.api_client.job(name)["state"])
                 self.counts["answers"] += 1
             except ControlServiceUnreachableError:
                 self.counts["no answer"] += 1
-                return  # nobody else would get one
+                return  # the other requests would fail, too
             except RequestRejectedError as error:
                 self.breaches.append(f"{name}: answered {error.status}: {error}")
 
-    def _told(self, row: SubmittedJob, state: str) -> None:
+    def _record_answer(self, row: SubmittedJob, state: str) -> None:
         row.answers.append((time.monotonic(), state))
         del row.answers[1:-2]
 
@@ -274,7 +277,7 @@
     # The run
 
     def start(self) -> None:
-        """A control service, the agents that it starts, and one that joins by itself."""
+        """Start the control service with its agents, and one agent that is started separately."""
         self.start_control()
         while not (self.data / "address").exists():
             time.sleep(0.05)
@@ -284,12 +287,12 @@
     def run(self, seconds: float, every_s: float = 2.0, busy: int = 12) -> None:
         self.start()
         end = time.monotonic() + seconds
-        next_trouble = time.monotonic() + 3.0
-        said = time.monotonic()
+        next_failure = time.monotonic() + 3.0
+        last_progress = time.monotonic()
         while time.monotonic() < end:
-            if time.monotonic() >= next_trouble:
-                self.trouble()
-                next_trouble = time.monotonic() + self.random.expovariate(1.0 / every_s)
+            if time.monotonic() >= next_failure:
+                self.inject_failure()
+                next_failure = time.monotonic() + self.random.expovariate(1.0 / every_s)
             self.resume_and_restart()
             open_jobs = sum(
                 1 for row in self.jobs.values() if not row.answers or row.answers[-1][1] not in ("done", "cancelled")
@@ -297,11 +300,11 @@
             if open_jobs < busy:
                 self.submit()
             self.poll_jobs()
-            if time.monotonic() - said > 30.0:
-                said = time.monotonic()
-                self.say(f"{end - said:.0f} s left: {len(self.jobs)} jobs, {dict(self.counts)}", flush=True)
+            if time.monotonic() - last_progress > 30.0:
+                last_progress = time.monotonic()
+                self.say(f"{end - last_progress:.0f} s left: {len(self.jobs)} jobs, {dict(self.counts)}", flush=True)
             time.sleep(0.05)
-        for row in self.jobs.values():  # services have no other end
+        for row in self.jobs.values():  # services end by cancellation only
             if row.ready.description.kind == "service" and row.cancel_at is None:
                 row.cancel_at = 0.0
         deadline = time.monotonic() + 60.0 + 10.0 * LEASE_S
@@ -319,7 +322,7 @@
 
     def stop(self) -> None:
         for pid in self.stopped:
-            self._signal(pid, signal.SIGCONT)
+            self._send_signal(pid, signal.SIGCONT)
         for process in (self.far, self.control):
             if process is not None and process.poll() is None:
                 process.terminate()
@@ -327,7 +330,7 @@
                     process.wait(20.0)
                 except subprocess.TimeoutExpired:
                     process.kill()
-        # a control service that was killed when the time was up leaves its agents to us
+        # A control service killed just before the end cannot stop its agents.
         processes = AgentProcesses(self.data / "agents", "", self.data, 0.0, None)
         for place in (self.data / "agents").glob("vm-*"):
             processes.kill(place.name)
@@ -335,14 +338,14 @@
     # The checker
 
     def check(self) -> list[str]:
-        """What broke, of all accounts; empty if nothing did."""
+        """Return the broken rules found in all three sources."""
         found = list(self.breaches)
         ends: dict[str, int] = Counter()
         begins: dict[str, list[float]] = defaultdict(list)
         for line in (self.evidence / "log").read_text().splitlines():
             what, task, _, at = line.split()
             if what == "twice":
-                found.append(f"{task}: ran twice at the same time, by its own lock")
+                found.append(f"{task}: two attempts ran at the same time, according to the task's lock")
             elif what == "begin":
                 begins[task].append(float(at))
             else:
@@ -351,15 +354,15 @@
             description = row.ready.description
             finals = {state for _, state in row.answers if state in ("done", "cancelled")}
             if len(finals) > 1:
-                found.append(f"{name}: told {sorted(finals)}")
+                found.append(f"{name}: conflicting final answers {sorted(finals)}")
             if "done" in finals:
                 found += [
-                    f"{name}/{index}: called done, and never came to its end"
+                    f"{name}/{index}: answered done, but the task never ended"
                     for index in range(description.tasks)
                     if not ends[f"{name}/{index}"]
                 ]
             if "cancelled" in finals and row.cancel_at is None and not row.ready.awaits:
-                found.append(f"{name}: called cancelled, and nobody asked for it")
+                found.append(f"{name}: answered cancelled without a request")
             if row.cancelled_at is not None:
                 found += [
                     f"{name}/{index}: began {at - row.cancelled_at:.1f} s after its cancellation"
@@ -373,7 +376,7 @@
         return found
 
     def _check_histories(self) -> list[str]:
-        """No two agents had the same task at once, by what they wrote down themselves."""
+        """Check in the agents' event logs that no two agents ran the same task at the same time."""
         spans: dict[str, list[tuple[float, float, str]]] = defaultdict(list)
         for place in [*(self.data / "agents").glob("vm-*"), self.directory / "far"]:
             open_since: dict[str, float] = {}
@@ -387,14 +390,14 @@
                 elif row["what"] == "ended" and row["task"] in open_since:
                     spans[row["task"]].append((open_since.pop(row["task"]), row["at"], place.name))
                 elif row["what"] == "session":
-                    # it was killed in between; by now all is ended, when exactly it doesn't know
+                    # The agent was killed and restarted: its tasks have ended at an unknown time.
                     open_since.clear()
         found = []
         for task, rows in spans.items():
             rows.sort()
             for (_, until, where), (since, _, other) in itertools.pairwise(rows):
                 if since < until - 0.001:
-                    found.append(f"{task}: on {where} and {other} at once, by their histories")
+                    found.append(f"{task}: ran on {where} and {other} at the same time, according to their event logs")
         return found
 
 
@@ -406,8 +409,8 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=None)
-    parser.add_argument("--every", type=float, default=2.0, help="mean seconds between troubles")
-    parser.add_argument("--busy", type=int, default=12, help="jobs under way at a time")
+    parser.add_argument("--every", type=float, default=2.0, help="mean seconds between failures")
+    parser.add_argument("--busy", type=int, default=12, help="number of unfinished jobs to keep")
     parser.add_argument("--dir", required=True, help="an empty directory")
     arguments = parser.parse_args()
     seed = arguments.seed if arguments.seed is not None else random.SystemRandom().randrange(10**6)
--- a/tools/plots.py
+++ b/tools/plots.py
@@ -1,4 +1,4 @@
-"""Plots of what the benchmarks printed, as SVG for the pages.
+"""Plot benchmark output as SVG.
 
 python3 -m tools.bench_agents ... | tee agents.jsonl
 python3 -m tools.plots agents agents.jsonl docs/agents.svg
@@ -17,7 +17,7 @@
 import matplotlib
 
 matplotlib.use("svg")
-matplotlib.rcParams["svg.hashsalt"] = "tidebend"  # the same figures give the same file
+matplotlib.rcParams["svg.hashsalt"] = "tidebend"  # makes the output file reproducible
 from matplotlib import pyplot  # noqa: E402
 
 
