--- a/simulation/search.py
+++ b/simulation/search.py
@@ -15,7 +15,7 @@
 from functools import partial
 from unittest import mock
 
-from simulation.checker import BesideRoom, contradicted, judged, starts_after_cancellation
+from simulation.checker import StarvationDetector, all_breaches, contradicted, starts_after_cancellation
 from simulation.links import Cut
 from simulation.play import cut_zone
 from simulation.versions import Version, version_at
@@ -202,7 +202,7 @@
 
 def _close_polling(world, rng):
     seconds = rng.uniform(5.0, 60.0)
-    world.looks_until = world.now + seconds
+    world.concurrent_requests_until = world.now + seconds
     return "", seconds
 
 
@@ -234,7 +234,7 @@
     for name in sorted({key.partition("/")[0] for worker in workers for key in worker.tasks} & world.polls.keys()):
         world.cancel(name)
     node, away = world.holder(zone), rng.choice((0.2, 3.0, world.lease_s))
-    world.later.append((world.now + rng.uniform(0.2, 4.0), lambda: world.crash(node, away)))
+    world.scheduled_actions.append((world.now + rng.uniform(0.2, 4.0), lambda: world.crash(node, away)))
     return f"{zone} {'hangs' if hanging else 'is cut off'}, {node} ends for {away:.1f} s", seconds + 4.0 + away
 
 
@@ -246,13 +246,13 @@
     leader = _choose_node(world, rng)
     zone = rng.choice([zone for zone in world.zones if world.holder(zone) != leader] or world.zones)
     workers = [worker for worker in world.workers.values() if worker.zone == zone]
-    world.kept += [worker.body() for worker in workers]
+    world.retained_reports += [worker.body() for worker in workers]
     seconds = rng.uniform(1.05, 1.2) * world.lease_s
     world.mute.update(dict.fromkeys([worker.name for worker in workers], world.now + seconds))
     work = {**JOB, "shape": "sweep", "cargo": "img-0", "pieces": 6, "run_s": 20.0, "reckonS": 20.0, "harbor": zone}
-    world.later.append((world.now + seconds, lambda: world.submit(f"req-after-{world.ticks}", **work)))
+    world.scheduled_actions.append((world.now + seconds, lambda: world.submit(f"req-after-{world.ticks}", **work)))
     when = seconds + rng.uniform(0.3, 0.9) * world.lease_s
-    world.later.append((world.now + when, lambda: world.crash(leader, world.lease_s)))
+    world.scheduled_actions.append((world.now + when, lambda: world.crash(leader, world.lease_s)))
     return f"{zone}, {leader} ends", when + world.lease_s
 
 
@@ -459,7 +459,7 @@
         for _, name, _ in jobs
         if rng.random() < 0.6
     )
-    events, troubles_end, room_checker = [], first, BesideRoom(world)
+    events, troubles_end, starvation = [], first, StarvationDetector(world)
     with world.clock():
         while world.now < troubles_end + CALM_S or trouble_times or upgrades:
             while jobs and begin + jobs[0][0] <= world.now:
@@ -482,8 +482,8 @@
                 events.append(f"{world.now - begin:.1f} {name} {target} {seconds:.1f} s")
             world.step()
             if world.ticks % 10 == 0:
-                room_checker.look()
-        breaches = judged(world, room_checker, troubles_end)
+                starvation.check()
+        breaches = all_breaches(world, starvation, troubles_end)
     accepted = {row[3] for row in world.log if row[1] == "told" and row[4] in (200, 201)}
     ended = {name for name, (_, state) in world.answers.items() if state in ("done", "withdrawn")}
     unfinished = [name for name in sorted(accepted) if name not in ended and _can_complete(name, world.jobs)]
