--- a/tidebend/autoscaling/scale_out.py
+++ b/tidebend/autoscaling/scale_out.py
@@ -87,7 +87,7 @@
     def __init__(
         self, capacities: list[Capacity], offers: list[Offer], now: float, machines_by_zone: dict[str, int]
     ) -> None:
-        self.machines: dict[Offer, int] = {}  # to provision
+        self.machines: dict[Offer, int] = {}  # number of machines to provision by offer
         self._capacities = capacities
         self._offers = offers
         self._now = now
--- a/tidebend/cluster_state/job_cache.py
+++ b/tidebend/cluster_state/job_cache.py
@@ -26,7 +26,7 @@
 
     value: Any
     version: int
-    _first: int | None = None  # index of the chunk's first task, as of the unpacking
+    _first: int | None = None  # index of the first task that `_chunk` was unpacked with
     _chunk: Chunk | None = None
 
     def chunk(self, first: int) -> Chunk:
--- a/tidebend/controller/records/final_lookup.py
+++ b/tidebend/controller/records/final_lookup.py
@@ -5,7 +5,7 @@
 from tidebend.cluster_state.job_cache import JobCache
 from tidebend.kvclient import FINAL, KeyValueClient, NotExecutedError
 
-# final records that one call reads at most, so that a user's poll is answered in time
+# maximum number of final records that one call reads, so that a user's poll is answered in time
 MAX_LOOKUPS = 4
 
 
--- a/tidebend/controller/scheduler/scheduling_loop.py
+++ b/tidebend/controller/scheduler/scheduling_loop.py
@@ -156,7 +156,7 @@
             return
         jobs = {job.id: job for job in self.job_cache.live_jobs() if job.pending}
         self._forget_jobs_not_in(jobs)
-        # even without usable machines: whoever took over an isolated zone's shard also holds that zone's quota
+        # even without usable machines: the new holder of an isolated zone's shard also holds that zone's quota
         self.quota_releaser.release_for(jobs.values(), now)
         relocations = self._relocations(now, wall_time)
         if not jobs and not relocations:
