--- a/tidebend/coordination/session_lease.py
+++ b/tidebend/coordination/session_lease.py
@@ -123,7 +123,7 @@
     """Renews the lease, and updates the node record after each renewal."""
 
     def __init__(self, session_lease: SessionLease, announcement: NodeAnnouncement) -> None:
-        """`announcement`: of the node record that is attached to the lease."""
+        """`announcement` writes the node record that is attached to the lease."""
         self._session_lease = session_lease
         self._announcement = announcement
 
--- a/tidebend/kvclient/watch_cache.py
+++ b/tidebend/kvclient/watch_cache.py
@@ -46,7 +46,8 @@
         self.watched = NEVER  # monotonic time of the watch's last answer
         # Monotonic time at which the last completed read began. The cache contains every write that was confirmed to
         # any client before this time, but not necessarily later ones. Nothing else makes the cache fresher: not a
-        # renewed lease, not a write by this controller, not a watch that is still waiting.
+        # renewed lease, not a write by this controller, not a watch that is still waiting:
+        # that proves no more than what had been read when the watch began.
         self.as_of = NEVER
         self.watch_s = watch_s
         self._on_change = on_change
